--- a/src/leased/dispatch/catching_up.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -19,14 +19,14 @@
 
 /// Whom to ask, and when.
 #[derive(Clone, Debug, Default)]
-pub struct CatchingUp {
+pub struct DirectivesFetch {
     since_ms: Option<u64>,
     holders: collections::VecDeque<SmolStr>,
     is_asking: bool,
     not_before_ms: u64,
 }
 
-impl CatchingUp {
+impl DirectivesFetch {
     /// An entry was named that has the configuration.
     pub fn name(&mut self, holder: SmolStr) {
         if self.holders.contains(&holder) {
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -1,14 +1,14 @@
 //! An entry's decisions about jobs under leases, without network or clock.
 
-pub mod catching_up;
-pub mod ending;
-pub mod filling;
+pub mod directives_fetch;
+pub mod ejection;
+pub mod expiry;
 pub mod jobs;
-pub mod judging;
-pub mod patience;
-pub mod placing;
+pub mod placement;
+pub mod prior_wait;
+pub mod run_ends;
 pub mod runners;
-pub mod runs_over;
+pub mod scheduling;
 pub mod urgency;
 pub mod watching;
 
@@ -100,7 +100,7 @@
     me: ids::Incarnation,
     zone: SmolStr,
     directives: directives::InForce,
-    catching_up: catching_up::CatchingUp,
+    directives_fetch: directives_fetch::DirectivesFetch,
     queues: sync::Arc<queues::Queues>,
     runners: SlotMap<runners::RunnerKey, runners::Runner>,
     by_address: collections::HashMap<SmolStr, runners::RunnerKey>,
@@ -109,7 +109,7 @@
     by_id: collections::HashMap<SmolStr, jobs::JobKey>,
     waiting: Vec<jobs::JobKey>,
     health: health::Health,
-    patience: patience::Patience,
+    prior_wait: prior_wait::PriorWait,
     policy: settings::Policy,
     looked_ms: u64,
     swept_ms: u64,
@@ -123,7 +123,7 @@
             me,
             zone,
             directives: directives::InForce::default(),
-            catching_up: catching_up::CatchingUp::default(),
+            directives_fetch: directives_fetch::DirectivesFetch::default(),
             queues: sync::Arc::default(),
             runners: SlotMap::with_key(),
             by_address: collections::HashMap::new(),
@@ -132,7 +132,7 @@
             by_id: collections::HashMap::new(),
             waiting: Vec::new(),
             health: health::Health::default(),
-            patience: patience::Patience::default(),
+            prior_wait: prior_wait::PriorWait::default(),
             policy: settings::Policy::default(),
             looked_ms: 0,
             swept_ms: 0,
@@ -223,20 +223,20 @@
         let is_same = sync::Arc::ptr_eq(&before.queues, &current.queues);
         if !is_same || before.bounds != current.bounds {
             self.queues = sync::Arc::new(queues::Queues::new(&current.queues, current.bounds));
-            self.patience.retain(&current.queues);
+            self.prior_wait.retain(&current.queues);
         }
         true
     }
 
     /// Another entry has answered what it knows, or not.
     pub fn learned(&mut self, now_ms: u64) {
-        self.catching_up.answered(now_ms);
+        self.directives_fetch.answered(now_ms);
     }
 
     fn catch_up(&mut self, now_ms: u64) -> Option<Action> {
         let is_lacking = self.directives.is_lacking();
         let has_any = self.directives.get().is_configured();
-        let holder = self.catching_up.next(now_ms, is_lacking, has_any)?;
+        let holder = self.directives_fetch.next(now_ms, is_lacking, has_any)?;
         log::info!(event = "directives.fetch", from = holder.as_str(), version = self.directives.latest().get().version, held = self.directives.get().version; "the store hasn't told; asking");
         Some(Action::Learn(holder))
     }
@@ -263,7 +263,7 @@
         let kind = self.health.kind(&queue.service, &queue.name);
         let mut open = jobs::Open::new(now_ms, job, queue, timeout_ms, waiter, kind);
         open.precedence = self.queues.precedence(queue);
-        let waited_ms = self.patience.waited_ms(queue, timeout_ms);
+        let waited_ms = self.prior_wait.waited_ms(queue, timeout_ms);
         open.note_waited(waited_ms);
         log::info!(event = "job.accept", job = open.job.id.as_str(), queue = open.queue.as_str(), tasks = open.tasks.len(), estimate_ms = open.job.chain_ms(), objective_ms = open.objective_ms, precedence = open.precedence, timeout_ms = open.deadline_ms - now_ms, waited_ms = waited_ms, waiting = self.waiting.len(), configuration = self.directives.get().version; "accepted");
         self.counts.accepted += 1;
@@ -388,7 +388,7 @@
             self.directives.hear(&notice);
         }
         if let Some(holder) = holder {
-            self.catching_up.name(holder);
+            self.directives_fetch.name(holder);
         }
         self.take_over(now_ms, key, over)
     }
--- a/src/leased/dispatch/patience.rs
+++ b/src/leased/dispatch/prior_wait.rs
@@ -20,12 +20,12 @@
 
 /// What an entry has seen of its callers' patience.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct PriorWait {
     /// By queue, the share of callers with less time than the queue's limit.
     short: collections::HashMap<SmolStr, f64>,
 }
 
-impl Patience {
+impl PriorWait {
     /// A caller says how long it waits at most; how long it has surely waited before, in
     /// milliseconds.
     ///
--- a/src/leased/dispatch/filling.rs
+++ b/src/leased/dispatch/scheduling.rs
@@ -8,7 +8,7 @@
 use crate::health;
 use crate::leased::dispatch;
 use crate::leased::dispatch::jobs;
-use crate::leased::dispatch::placing;
+use crate::leased::dispatch::placement;
 use crate::leased::dispatch::runners;
 use crate::leased::dispatch::urgency;
 use crate::leased::dispatch::watching;
@@ -16,14 +16,14 @@
 
 /// The room of one service while waiting jobs are placed.
 struct Room {
-    candidates: Vec<placing::Candidate>,
+    candidates: Vec<placement::Candidate>,
     /// Thousandths of a core of the largest task that was asked for.
     largest_milli: u32,
     has_waiting: bool,
 }
 
 impl Room {
-    const fn of(candidates: Vec<placing::Candidate>) -> Self {
+    const fn of(candidates: Vec<placement::Candidate>) -> Self {
         Self {
             candidates,
             largest_milli: 0,
@@ -32,7 +32,7 @@
     }
 
     fn left(&self) -> watching::Left {
-        let has_room = |candidate: &&placing::Candidate| {
+        let has_room = |candidate: &&placement::Candidate| {
             candidate.places > 0 && candidate.free.cpu_milli >= self.largest_milli
         };
         watching::Left {
@@ -81,7 +81,7 @@
         actions
     }
 
-    fn candidates(&self, now_ms: u64, service: &str) -> Vec<placing::Candidate> {
+    fn candidates(&self, now_ms: u64, service: &str) -> Vec<placement::Candidate> {
         let directives = self.directives.latest();
         let may_take = |runner: &runners::Runner| {
             let load = &runner.load;
@@ -94,7 +94,7 @@
             let allowance = self.health.allowance(now_ms, key);
             let most = allowance.most.unwrap_or(u32::MAX);
             let held = u32::try_from(runner.placed()).unwrap_or(u32::MAX);
-            placing::Candidate {
+            placement::Candidate {
                 key,
                 free: runner.free(),
                 size_milli: runner.load.size.cpu_milli,
@@ -124,9 +124,9 @@
         let largest_milli = asks.iter().map(|ask| ask.need.cpu_milli).max();
         room.largest_milli = room.largest_milli.max(largest_milli.unwrap_or(0));
         let placed = if urgency::begins_whole(wait.class) {
-            placing::place_all(&asks, &mut room.candidates)
+            placement::place_all(&asks, &mut room.candidates)
         } else {
-            placing::place(&asks, &mut room.candidates)
+            placement::place(&asks, &mut room.candidates)
         };
         let is_all = placed.len() == asks.len();
         for target in placed {
@@ -160,9 +160,9 @@
     }
 }
 
-fn ask(open: &jobs::Open, at: usize, wait: messages::Wait) -> placing::Ask<'_> {
+fn ask(open: &jobs::Open, at: usize, wait: messages::Wait) -> placement::Ask<'_> {
     let step = &open.job.steps[usize::from(open.tasks[at].step)];
-    placing::Ask {
+    placement::Ask {
         task: at,
         step: open.tasks[at].step,
         need: step.need,
--- a/src/leased/dispatch/urgency.rs
+++ b/src/leased/dispatch/urgency.rs
@@ -37,7 +37,7 @@
 const LATE: u8 = 4;
 
 /// Whether a job of this class begins only where all its tasks find room; see
-/// [`crate::leased::dispatch::placing`].
+/// [`crate::leased::dispatch::placement`].
 pub const fn begins_whole(class: u8) -> bool {
     class > MOST_URGENT
 }
--- a/tests/unit/leased.rs
+++ b/tests/unit/leased.rs
@@ -1,15 +1,15 @@
 //! Runs under leases: the runner's room, the entry's decisions, and what passes between.
 
 mod answers;
+mod directives;
 mod dispatch;
 mod fixtures;
 mod jobs;
 mod line;
-mod patience;
-mod placing;
+mod placement;
 mod play;
+mod prior_wait;
 mod queues;
 mod room;
-mod spreading;
 mod urgency;
 mod watching;
--- a/tests/unit/leased/spreading.rs
+++ b/tests/unit/leased/directives.rs
@@ -2,7 +2,7 @@
 
 use bulrushtiller::leased::directives;
 use bulrushtiller::leased::dispatch;
-use bulrushtiller::leased::dispatch::catching_up;
+use bulrushtiller::leased::dispatch::directives_fetch;
 use bulrushtiller::leased::dispatch::runners;
 use bulrushtiller::leased::messages;
 use bulrushtiller::wire;
@@ -206,15 +206,15 @@
 /// Guards against asking one holder for ever that has died or can't be reached.
 #[test]
 fn holders_are_asked_in_turn() {
-    let mut catching_up = catching_up::CatchingUp::default();
-    catching_up.name("a".into());
-    catching_up.name("b".into());
+    let mut directives_fetch = directives_fetch::DirectivesFetch::default();
+    directives_fetch.name("a".into());
+    directives_fetch.name("b".into());
 
     let mut asked = Vec::new();
     for at in 0..3 {
         let now_ms = START_MS + at * 1_000;
-        asked.extend(catching_up.next(now_ms, true, false));
-        catching_up.answered(now_ms);
+        asked.extend(directives_fetch.next(now_ms, true, false));
+        directives_fetch.answered(now_ms);
     }
 
     assert_eq!(asked, ["a", "b", "a"]);
--- a/tests/unit/leased/placing.rs
+++ b/tests/unit/leased/placement.rs
@@ -1,6 +1,6 @@
 //! Which runners a job's tasks go to.
 
-use bulrushtiller::leased::dispatch::placing;
+use bulrushtiller::leased::dispatch::placement;
 use bulrushtiller::leased::dispatch::runners;
 use bulrushtiller::leased::messages;
 use slotmap::SlotMap;
@@ -8,9 +8,9 @@
 
 use super::fixtures;
 
-fn candidates(free: &[(u32, bool, &str)]) -> Vec<placing::Candidate> {
+fn candidates(free: &[(u32, bool, &str)]) -> Vec<placement::Candidate> {
     let mut keys: SlotMap<runners::RunnerKey, ()> = SlotMap::with_key();
-    let candidate = |&(cpu_milli, is_near, rack): &(u32, bool, &str)| placing::Candidate {
+    let candidate = |&(cpu_milli, is_near, rack): &(u32, bool, &str)| placement::Candidate {
         key: keys.insert(()),
         free: fixtures::cores(cpu_milli),
         size_milli: 16_000,
@@ -25,8 +25,8 @@
     free.iter().map(candidate).collect()
 }
 
-fn asks(count: usize, cpu_milli: u32) -> Vec<placing::Ask<'static>> {
-    let ask = |task| placing::Ask {
+fn asks(count: usize, cpu_milli: u32) -> Vec<placement::Ask<'static>> {
+    let ask = |task| placement::Ask {
         task,
         step: 0,
         need: fixtures::cores(cpu_milli),
@@ -47,7 +47,7 @@
         (2_000, true, "r3"),
     ]);
 
-    let placed = placing::place(&asks(2, 1_600), &mut free);
+    let placed = placement::place(&asks(2, 1_600), &mut free);
 
     let keys: Vec<_> = placed.iter().map(|target| target.runner).collect();
     assert_eq!(keys, [free[2].key, free[1].key]);
@@ -60,9 +60,9 @@
     let mut asks = asks(1, 1_600);
     asks[0].rack = Some(&rack);
 
-    let placed = placing::place(&asks, &mut free);
+    let placed = placement::place(&asks, &mut free);
 
-    let target = placing::Target {
+    let target = placement::Target {
         task: 0,
         runner: free[0].key,
         waits: false,
@@ -80,7 +80,7 @@
         ask.per_server = 2;
     }
 
-    let placed = placing::place(&asks, &mut free);
+    let placed = placement::place(&asks, &mut free);
 
     assert_eq!(placed.len(), 2);
     assert!(placed.iter().all(|target| target.runner == free[0].key));
@@ -92,7 +92,7 @@
     free[0].is_suspect = true;
     free[1].places = 2;
 
-    let placed = placing::place(&asks(3, 1_600), &mut free);
+    let placed = placement::place(&asks(3, 1_600), &mut free);
 
     let keys: Vec<_> = placed.iter().map(|target| target.runner).collect();
     assert_eq!(keys, [free[1].key, free[1].key, free[0].key]);
@@ -110,8 +110,8 @@
         ask.may_wait = true;
     }
 
-    let none = placing::place_all(&asks, &mut free);
-    let two = placing::place_all(&asks[..2], &mut free);
+    let none = placement::place_all(&asks, &mut free);
+    let two = placement::place_all(&asks[..2], &mut free);
 
     assert!(none.is_empty(), "{none:?}");
     assert_eq!(two.iter().filter(|target| target.waits).count(), 1);
@@ -126,9 +126,9 @@
     let mut asks = asks(1, 1_600);
     asks[0].may_wait = true;
 
-    let urgent = placing::place(&asks, &mut free.clone());
+    let urgent = placement::place(&asks, &mut free.clone());
     asks[0].class = 2;
-    let calm = placing::place(&asks, &mut free);
+    let calm = placement::place(&asks, &mut free);
 
     assert_eq!(urgent.len(), 1);
     assert!(calm.is_empty());
