--- a/src/leased/dispatch/directives_fetch.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -28,7 +28,7 @@
 
 impl DirectivesFetch {
     /// An entry was named that has the configuration.
-    pub fn name(&mut self, holder: SmolStr) {
+    pub fn add_holder(&mut self, holder: SmolStr) {
         if self.holders.contains(&holder) {
             return;
         }
@@ -40,7 +40,7 @@
 
     /// Whom to ask now; `is_lacking` tells that the configuration is missing here, and
     /// `has_any` that an older one is in force meanwhile.
-    pub fn next(&mut self, now_ms: u64, is_lacking: bool, has_any: bool) -> Option<SmolStr> {
+    pub fn next_holder(&mut self, now_ms: u64, is_lacking: bool, has_any: bool) -> Option<SmolStr> {
         if !is_lacking {
             self.since_ms = None;
             self.holders.clear();
--- a/src/leased/dispatch/jobs.rs
+++ b/src/leased/dispatch/jobs.rs
@@ -89,7 +89,7 @@
         waiter: Waiter,
         kind: health::Kind,
     ) -> Self {
-        let objective_ms = objective_ms(job.chain_ms(), queue);
+        let objective_ms = objective_ms(job.critical_path_ms(), queue);
         let steps = job.steps.iter().zip(0..);
         let tasks =
             steps.flat_map(|(step, at)| (0..step.tasks).map(move |index| new_task(at, index)));
@@ -200,7 +200,7 @@
     clippy::cast_sign_loss,
     reason = "a duration in milliseconds; negative and endless ones saturate"
 )]
-fn objective_ms(chain_ms: u64, queue: &queues::Queue) -> u64 {
-    let work_ms = chain_ms as f64 * queue.stretch.max(1.0);
+fn objective_ms(critical_path_ms: u64, queue: &queues::Queue) -> u64 {
+    let work_ms = critical_path_ms as f64 * queue.stretch.max(1.0);
     (work_ms as u64).saturating_add(queue.target_ms)
 }
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -46,7 +46,7 @@
     /// Tell a caller how its job ended.
     Answer(jobs::Waiter, Outcome),
     /// Ask another entry, by its address, for what it knows.
-    Learn(SmolStr),
+    Fetch(SmolStr),
 }
 
 /// How a job ended for its caller.
@@ -153,12 +153,12 @@
     }
 
     /// Jobs that are open.
-    pub fn open(&self) -> usize {
+    pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
     /// Jobs that wait for room.
-    pub const fn waiting(&self) -> usize {
+    pub const fn waiting_jobs(&self) -> usize {
         self.waiting.len()
     }
 
@@ -208,13 +208,13 @@
     }
 
     /// Whether a job is known and open.
-    pub fn state(&self, id: &str) -> Option<bool> {
+    pub fn is_started(&self, id: &str) -> Option<bool> {
         let key = self.by_id.get(id)?;
         Some(self.jobs.get(*key)?.has_started())
     }
 
     /// The store, or another process, told what operators ask for; whether it was news.
-    pub fn directed(&mut self, heard: directives::Directives) -> bool {
+    pub fn update_directives(&mut self, heard: directives::Directives) -> bool {
         let before = sync::Arc::clone(self.directives.get());
         if !self.directives.advance(heard) {
             return false;
@@ -229,16 +229,18 @@
     }
 
     /// Another entry has answered what it knows, or not.
-    pub fn learned(&mut self, now_ms: u64) {
+    pub fn fetch_answered(&mut self, now_ms: u64) {
         self.directives_fetch.answered(now_ms);
     }
 
     fn catch_up(&mut self, now_ms: u64) -> Option<Action> {
         let is_lacking = self.directives.is_lacking();
         let has_any = self.directives.get().is_configured();
-        let holder = self.directives_fetch.next(now_ms, is_lacking, has_any)?;
+        let holder = self
+            .directives_fetch
+            .next_holder(now_ms, is_lacking, has_any)?;
         log::info!(event = "directives.fetch", from = holder.as_str(), version = self.directives.latest().get().version, held = self.directives.get().version; "the store hasn't told; asking");
-        Some(Action::Learn(holder))
+        Some(Action::Fetch(holder))
     }
 
     /// A caller hands a job in; `timeout_ms` is how long it waits at most, if it says so.
@@ -265,7 +267,7 @@
         open.precedence = self.queues.precedence(queue);
         let waited_ms = self.prior_wait.waited_ms(queue, timeout_ms);
         open.note_waited(waited_ms);
-        log::info!(event = "job.accept", job = open.job.id.as_str(), queue = open.queue.as_str(), tasks = open.tasks.len(), estimate_ms = open.job.chain_ms(), objective_ms = open.objective_ms, precedence = open.precedence, timeout_ms = open.deadline_ms - now_ms, waited_ms = waited_ms, waiting = self.waiting.len(), configuration = self.directives.get().version; "accepted");
+        log::info!(event = "job.accept", job = open.job.id.as_str(), queue = open.queue.as_str(), tasks = open.tasks.len(), estimate_ms = open.job.critical_path_ms(), objective_ms = open.objective_ms, precedence = open.precedence, timeout_ms = open.deadline_ms - now_ms, waited_ms = waited_ms, waiting = self.waiting.len(), configuration = self.directives.get().version; "accepted");
         self.counts.accepted += 1;
         let id = open.job.id.clone();
         let key = self.jobs.insert(open);
@@ -275,7 +277,7 @@
     }
 
     /// A caller that waited is gone, or cancels its own wait.
-    pub fn gone(&mut self, now_ms: u64, id: &str, waiter: jobs::Waiter) -> Vec<Action> {
+    pub fn remove_waiter(&mut self, now_ms: u64, id: &str, waiter: jobs::Waiter) -> Vec<Action> {
         let Some(&key) = self.by_id.get(id) else {
             return Vec::new();
         };
@@ -298,7 +300,7 @@
     }
 
     /// An order was answered.
-    pub fn ordered(
+    pub fn order_answered(
         &mut self,
         now_ms: u64,
         key: runners::RunnerKey,
@@ -311,7 +313,7 @@
         for (id, why) in &reply.refused {
             log::info!(event = "order.refused", job = id.job.as_str(), run:% = id, runner = runner.address().as_str(), why:? = why, free_milli = reply.load.size.minus(&reply.load.used).cpu_milli; "not taken in");
         }
-        let over = runner.ordered(now_ms, order, reply);
+        let over = runner.order_answered(now_ms, order, reply);
         self.take_over(now_ms, key, over)
     }
 
@@ -365,7 +367,7 @@
     }
 
     /// A watch was answered.
-    pub fn reported(
+    pub fn report_received(
         &mut self,
         now_ms: u64,
         key: runners::RunnerKey,
@@ -379,7 +381,7 @@
         let mut report = report;
         let notice = report.notice.take();
         let holder = report.holder.take();
-        let over = runner.reported(now_ms, report);
+        let over = runner.report_received(now_ms, report);
         if was_usable != runner.is_usable(now_ms) {
             log::info!(event = "runner.changed", runner = runner.address().as_str(), readiness:? = runner.load.readiness, zone = runner.load.zone.as_str(), silence_ms = silence_ms; "heard");
         }
@@ -388,7 +390,7 @@
             self.directives.hear(&notice);
         }
         if let Some(holder) = holder {
-            self.directives_fetch.name(holder);
+            self.directives_fetch.add_holder(holder);
         }
         self.take_over(now_ms, key, over)
     }
@@ -451,6 +453,6 @@
         due_ms: open.due_ms,
         hold_until_ms: open.hold_until_ms,
         deadline_ms: open.deadline_ms,
-        left_ms: open.job.chain_ms(),
+        left_ms: open.job.critical_path_ms(),
     }
 }
--- a/src/leased/dispatch/placement.rs
+++ b/src/leased/dispatch/placement.rs
@@ -66,7 +66,7 @@
     /// The rack near its data.
     pub rack: Option<&'a SmolStr>,
     /// At most so many of its step on one backend server.
-    pub per_server: u32,
+    pub max_per_server: u32,
     /// Whether it may wait at a runner for room.
     pub may_wait: bool,
     /// Its job's class of urgency.
@@ -198,7 +198,7 @@
         let has_label = |label| candidate.labels.contains(label);
         let count = || counts.get(&(self.step, candidate.key)).copied();
         candidate.places > 0
-            && (self.per_server == u32::MAX || count().unwrap_or(0) < self.per_server)
+            && (self.max_per_server == u32::MAX || count().unwrap_or(0) < self.max_per_server)
             && self.label.is_none_or(has_label)
     }
 
--- a/src/leased/dispatch/runners.rs
+++ b/src/leased/dispatch/runners.rs
@@ -29,7 +29,7 @@
 
 /// Silence after which a runner's runs are surely over, in milliseconds: the lease that
 /// the entry's last sign of life allows, 2 % more for a slow clock, a stop, and a way.
-pub const GONE_MS: u64 = room::OWNER_LEASE_MS + room::OWNER_LEASE_MS / 50 + 100;
+pub const RUN_EXPIRY_MS: u64 = room::OWNER_LEASE_MS + room::OWNER_LEASE_MS / 50 + 100;
 
 /// Silence after which a runner that the store doesn't list is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
@@ -341,7 +341,7 @@
     }
 
     /// An order was answered; what was not taken in is over.
-    pub fn ordered(
+    pub fn order_answered(
         &mut self,
         now_ms: u64,
         order: &messages::Order,
@@ -372,7 +372,7 @@
     }
 
     /// A watch was answered, with the ends that are new.
-    pub fn reported(&mut self, now_ms: u64, report: messages::Report) -> Vec<Over> {
+    pub fn report_received(&mut self, now_ms: u64, report: messages::Report) -> Vec<Over> {
         let is_news = self.hear(now_ms, report.runner, report.clock_ms, report.sequence);
         self.directives_position = report.directives_position;
         let mut over = Vec::new();
@@ -437,7 +437,7 @@
 
     /// What is over because nothing was heard for so long.
     pub fn lapse(&mut self, now_ms: u64) -> Vec<Over> {
-        if now_ms <= self.alive_sent_ms + GONE_MS {
+        if now_ms <= self.alive_sent_ms + RUN_EXPIRY_MS {
             return Vec::new();
         }
         let ids: Vec<_> = self.placed.keys().cloned().collect();
--- a/src/leased/dispatch/scheduling.rs
+++ b/src/leased/dispatch/scheduling.rs
@@ -168,7 +168,7 @@
         need: step.need,
         label: step.label.as_ref(),
         rack: step.rack.as_ref(),
-        per_server: step.per_server,
+        max_per_server: step.max_per_server,
         may_wait: wait.most_ms > 0,
         class: wait.class,
     }
--- a/src/leased/dispatch/watching.rs
+++ b/src/leased/dispatch/watching.rs
@@ -22,7 +22,7 @@
 
 /// Runners of a service that take work and are watched in any case, unless the settings
 /// name another number.
-pub const SET: usize = 24;
+pub const DEFAULT_SET_SIZE: usize = 24;
 
 /// Runners of the own availability zone in a row, before one of another zone: some are in
 /// sight when the whole zone is lost, and what operators ask for spreads between zones.
@@ -190,7 +190,7 @@
 impl Default for Watches {
     fn default() -> Self {
         Self {
-            size: SET,
+            size: DEFAULT_SET_SIZE,
             groups: collections::BTreeMap::new(),
             open: Vec::new(),
             is_stale: false,
@@ -222,7 +222,7 @@
 
 impl dispatch::Dispatcher {
     /// Another entry told the addresses of runners.
-    pub fn found(&mut self, now_ms: u64, addresses: &[SmolStr]) -> Vec<dispatch::Action> {
+    pub fn add_runners(&mut self, now_ms: u64, addresses: &[SmolStr]) -> Vec<dispatch::Action> {
         for address in addresses {
             if !self.by_address.contains_key(address) {
                 let member = ports::Member {
@@ -239,7 +239,11 @@
     ///
     /// One that isn't listed any more is forgotten once it is silent; one that is listed
     /// stays known however long it is silent.
-    pub fn listed(&mut self, now_ms: u64, members: &[ports::Member]) -> Vec<dispatch::Action> {
+    pub fn update_listing(
+        &mut self,
+        now_ms: u64,
+        members: &[ports::Member],
+    ) -> Vec<dispatch::Action> {
         for runner in self.runners.values_mut() {
             runner.listing = runners::Listing::Unlisted;
         }
--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -125,7 +125,7 @@
                 dispatch::Action::Order(key, address, order) => self.send(cx, key, address, order),
                 dispatch::Action::Watch(key) => self.keep_watching(cx, key),
                 dispatch::Action::Answer(waiter, outcome) => self.answer(waiter, outcome),
-                dispatch::Action::Learn(holder) => self.learn(cx, holder),
+                dispatch::Action::Fetch(holder) => self.learn(cx, holder),
             }
         }
         self.show();
@@ -241,7 +241,7 @@
     fn handle(&mut self, gone: Gone, cx: &mut Self::Context) {
         self.answers.remove(&gone.waiter);
         let now_ms = self.now_ms();
-        let actions = self.dispatcher.gone(now_ms, &gone.id, gone.waiter);
+        let actions = self.dispatcher.remove_waiter(now_ms, &gone.id, gone.waiter);
         self.act(cx, actions);
     }
 }
@@ -274,7 +274,7 @@
     type Result = Option<bool>;
 
     fn handle(&mut self, WantState(id): WantState, _cx: &mut Self::Context) -> Option<bool> {
-        self.dispatcher.state(&id)
+        self.dispatcher.is_started(&id)
     }
 }
 
@@ -297,7 +297,7 @@
 
     fn handle(&mut self, ports::Found(addresses): ports::Found, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let actions = self.dispatcher.found(now_ms, &addresses);
+        let actions = self.dispatcher.add_runners(now_ms, &addresses);
         self.act(cx, actions);
     }
 }
@@ -307,7 +307,7 @@
 
     fn handle(&mut self, ports::Listed(members): ports::Listed, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let actions = self.dispatcher.listed(now_ms, &members);
+        let actions = self.dispatcher.update_listing(now_ms, &members);
         self.act(cx, actions);
     }
 }
@@ -318,7 +318,7 @@
     fn handle(&mut self, heard: ports::Directed, _cx: &mut Self::Context) {
         let ports::Directed { directives, from } = heard;
         let (position, version) = (directives.position, directives.version);
-        let is_news = self.dispatcher.directed(directives);
+        let is_news = self.dispatcher.update_directives(directives);
         log::info!(event = "directives.heard", from = from.as_str(), position = position, version = version, news = is_news; "heard");
         self.show();
     }
@@ -359,7 +359,7 @@
 
     fn handle(&mut self, _ask: control::IsDrained, _cx: &mut Self::Context) -> bool {
         let since_ms = self.leaving_ms.unwrap_or(0);
-        self.dispatcher.open() == 0 && self.now_ms() >= since_ms + LINGER_MS
+        self.dispatcher.open_jobs() == 0 && self.now_ms() >= since_ms + LINGER_MS
     }
 }
 
@@ -367,7 +367,7 @@
     type Result = ();
 
     fn handle(&mut self, _abandon: control::Abandon, _cx: &mut Self::Context) {
-        log::warn!(event = "entry.abandon", open = self.dispatcher.open(); "out of time with jobs open");
+        log::warn!(event = "entry.abandon", open = self.dispatcher.open_jobs(); "out of time with jobs open");
     }
 }
 
@@ -411,11 +411,11 @@
             ),
             counter("runs_lost", "Runs that ended without a result", counts.lost),
             metrics::Sample::histogram("job_seconds", "How long completed jobs took", counts.took),
-            gauge("jobs_open", "Jobs open", self.dispatcher.open() as u64),
+            gauge("jobs_open", "Jobs open", self.dispatcher.open_jobs() as u64),
             gauge(
                 "jobs_waiting",
                 "Jobs that wait for room",
-                self.dispatcher.waiting() as u64,
+                self.dispatcher.waiting_jobs() as u64,
             ),
             gauge("runners", "Runners known", self.dispatcher.runners() as u64),
             gauge(
--- a/src/leased/entry/calls.rs
+++ b/src/leased/entry/calls.rs
@@ -147,7 +147,7 @@
 
     fn handle(&mut self, Reported(key, report): Reported, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let actions = self.dispatcher.reported(now_ms, key, report);
+        let actions = self.dispatcher.report_received(now_ms, key, report);
         self.act(cx, actions);
     }
 }
@@ -169,7 +169,7 @@
         let actions = match heard.sent {
             Ok(reply) => self
                 .dispatcher
-                .ordered(now_ms, heard.key, &heard.order, reply),
+                .order_answered(now_ms, heard.key, &heard.order, reply),
             Err(e) => {
                 let is_unsent = matches!(e, outgoing::CallError::NotSent(_));
                 self.dispatcher
--- a/src/leased/entry/learning.rs
+++ b/src/leased/entry/learning.rs
@@ -59,6 +59,6 @@
 
     fn handle(&mut self, _learned: Learned, _cx: &mut Self::Context) {
         let now_ms = self.now_ms();
-        self.dispatcher.learned(now_ms);
+        self.dispatcher.fetch_answered(now_ms);
     }
 }
--- a/src/leased/job.rs
+++ b/src/leased/job.rs
@@ -71,7 +71,7 @@
     /// The rack near the data.
     pub rack: Option<SmolStr>,
     /// At most so many tasks on one backend server; 0 for any number.
-    pub per_server: u32,
+    pub max_per_server: u32,
 }
 
 /// A checked step.
@@ -90,7 +90,7 @@
     /// The rack near the data.
     pub rack: Option<SmolStr>,
     /// At most so many tasks on one backend server.
-    pub per_server: u32,
+    pub max_per_server: u32,
 }
 
 /// A checked job.
@@ -106,7 +106,7 @@
 
 impl Job {
     /// The longest chain of steps that wait for each other, in milliseconds as declared.
-    pub fn chain_ms(&self) -> u64 {
+    pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
             let before = step.after.iter().map(|&at| ends[usize::from(at)]);
@@ -167,10 +167,10 @@
         after: raw.after,
         label: raw.label,
         rack: raw.rack,
-        per_server: if raw.per_server == 0 {
+        max_per_server: if raw.max_per_server == 0 {
             u32::MAX
         } else {
-            raw.per_server
+            raw.max_per_server
         },
     })
 }
--- a/tests/unit/leased/directives.rs
+++ b/tests/unit/leased/directives.rs
@@ -21,7 +21,7 @@
 /// An entry that knows one runner.
 fn entry() -> (dispatch::Dispatcher, runners::RunnerKey) {
     let mut entry = dispatch::Dispatcher::new(ENTRY, "bento".into());
-    let actions = entry.found(START_MS, &["10.0.0.9:7720".into()]);
+    let actions = entry.add_runners(START_MS, &["10.0.0.9:7720".into()]);
     let Some(dispatch::Action::Watch(key)) = actions.first() else {
         panic!("no watch: {actions:?}");
     };
@@ -56,7 +56,7 @@
 fn learned_from(actions: &[dispatch::Action]) -> Vec<&str> {
     let mut holders = Vec::new();
     for action in actions {
-        if let dispatch::Action::Learn(holder) = action {
+        if let dispatch::Action::Fetch(holder) = action {
             holders.push(holder.as_str());
         }
     }
@@ -69,7 +69,7 @@
     let size_with = |queues| {
         let held = fixtures::large_directives(9, queues);
         let (mut entry, key) = entry();
-        entry.directed(held.clone());
+        entry.update_directives(held.clone());
         let watch = watch_of(&mut entry, key);
         let mut room = fixtures::ready_room();
         room.watch(START_MS, &watch_of_holder(&held));
@@ -143,12 +143,12 @@
 #[test]
 fn a_zone_that_is_out_holds_before_the_configuration_is_here() {
     let (mut entry, key) = entry();
-    entry.directed(fixtures::directives(3));
+    entry.update_directives(fixtures::directives(3));
     let news = messages::Report {
         notice: Some(fixtures::notice(9, "bento")),
         ..fixtures::report(1, 0, &[])
     };
-    entry.reported(START_MS, key, news);
+    entry.report_received(START_MS, key, news);
 
     let actions = entry.submit(
         START_MS,
@@ -165,8 +165,8 @@
 #[test]
 fn an_entry_asks_a_holder_once_the_store_has_had_its_time() {
     let (mut entry, key) = entry();
-    entry.directed(fixtures::directives(3));
-    entry.reported(START_MS, key, report_of_news(9));
+    entry.update_directives(fixtures::directives(3));
+    entry.report_received(START_MS, key, report_of_news(9));
 
     let first = entry.tick(START_MS);
     let early = entry.tick(START_MS + PATIENCE_MS - 1);
@@ -182,10 +182,10 @@
 #[test]
 fn an_entry_that_the_store_tells_in_time_asks_nobody() {
     let (mut entry, key) = entry();
-    entry.directed(fixtures::directives(3));
-    entry.reported(START_MS, key, report_of_news(9));
+    entry.update_directives(fixtures::directives(3));
+    entry.report_received(START_MS, key, report_of_news(9));
     entry.tick(START_MS);
-    entry.directed(fixtures::directives(9));
+    entry.update_directives(fixtures::directives(9));
 
     let actions = entry.tick(START_MS + PATIENCE_MS);
 
@@ -196,7 +196,7 @@
 #[test]
 fn an_entry_without_any_configuration_asks_at_once() {
     let (mut entry, key) = entry();
-    entry.reported(START_MS, key, report_of_news(9));
+    entry.report_received(START_MS, key, report_of_news(9));
 
     let actions = entry.tick(START_MS);
 
@@ -207,13 +207,13 @@
 #[test]
 fn holders_are_asked_in_turn() {
     let mut directives_fetch = directives_fetch::DirectivesFetch::default();
-    directives_fetch.name("a".into());
-    directives_fetch.name("b".into());
+    directives_fetch.add_holder("a".into());
+    directives_fetch.add_holder("b".into());
 
     let mut asked = Vec::new();
     for at in 0..3 {
         let now_ms = START_MS + at * 1_000;
-        asked.extend(directives_fetch.next(now_ms, true, false));
+        asked.extend(directives_fetch.next_holder(now_ms, true, false));
         directives_fetch.answered(now_ms);
     }
 
--- a/tests/unit/leased/dispatch.rs
+++ b/tests/unit/leased/dispatch.rs
@@ -13,13 +13,13 @@
 /// An entry that knows one empty runner of 16 cores.
 fn entry() -> (dispatch::Dispatcher, runners::RunnerKey) {
     let mut entry = dispatch::Dispatcher::new(ENTRY, "bento".into());
-    entry.directed(fixtures::directives(3));
-    let found = entry.found(START_MS - 10, &["10.0.0.1:7720".into()]);
+    entry.update_directives(fixtures::directives(3));
+    let found = entry.add_runners(START_MS - 10, &["10.0.0.1:7720".into()]);
     let [dispatch::Action::Watch(key)] = found[..] else {
         panic!("one watch: {found:?}");
     };
     entry.next_watch(START_MS - 10, key);
-    entry.reported(START_MS, key, fixtures::report(1, 0, &[]));
+    entry.report_received(START_MS, key, fixtures::report(1, 0, &[]));
     (entry, key)
 }
 
@@ -70,7 +70,7 @@
 fn a_job_is_answered_when_its_last_task_is_done() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 2)).remove(0);
-    entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
+    entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
     let first = end(1, &order.starts[0].id, messages::How::Done);
     let second = end(2, &order.starts[1].id, messages::How::Done);
     let still_runs = std::slice::from_ref(&order.starts[1].id);
@@ -79,12 +79,12 @@
         ends: vec![first.clone()],
         ..fixtures::report(3, 1_600, still_runs)
     };
-    let early = entry.reported(START_MS + 60, key, early);
-    let done = entry.reported(START_MS + 70, key, report_ends(4, vec![first, second]));
+    let early = entry.report_received(START_MS + 60, key, early);
+    let done = entry.report_received(START_MS + 70, key, report_ends(4, vec![first, second]));
 
     assert!(answers(&early).is_empty());
     assert_eq!(answers(&done), [dispatch::Outcome::Completed]);
-    assert_eq!(entry.open(), 0);
+    assert_eq!(entry.open_jobs(), 0);
 }
 
 /// A job can never be done. Its tasks fail as often as the queue allows, its caller is told,
@@ -93,7 +93,7 @@
 fn a_hopeless_job_fails_after_the_allowed_runs() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 2)).remove(0);
-    entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
+    entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
     let other = order.starts[1].id.clone();
     let failed = |number, run| end(number, &fixtures::run_id(1, 0, run), messages::How::Failed);
 
@@ -101,12 +101,12 @@
         ends: vec![failed(1, 1)],
         ..fixtures::report(3, 1_600, std::slice::from_ref(&other))
     };
-    let again = entry.reported(START_MS + 30, key, report);
+    let again = entry.report_received(START_MS + 30, key, report);
     let report = messages::Report {
         ends: vec![failed(2, 2)],
         ..fixtures::report(4, 1_600, std::slice::from_ref(&other))
     };
-    let over = entry.reported(START_MS + 60, key, report);
+    let over = entry.report_received(START_MS + 60, key, report);
 
     assert_eq!(orders(&again)[0].starts[0].id, fixtures::run_id(1, 0, 2));
     assert_eq!(answers(&over), [dispatch::Outcome::Failed]);
@@ -119,9 +119,9 @@
 fn what_a_caller_left_is_taken_back() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
-    entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
+    entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
 
-    let actions = entry.gone(START_MS + 20, &fixtures::run_id(1, 0, 1).job, 1);
+    let actions = entry.remove_waiter(START_MS + 20, &fixtures::run_id(1, 0, 1).job, 1);
     let watch = entry.next_watch(START_MS + 21, key);
 
     assert_eq!(orders(&actions)[0].stops, [order.starts[0].id.clone()]);
@@ -134,13 +134,13 @@
 fn a_second_try_joins_the_first() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
-    entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
+    entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
 
     let job = fixtures::job(1, 1, 1_600, 60);
     let joined = entry.submit(START_MS + 30, job, &fixtures::queue(), Some(1_500), 77);
-    entry.gone(START_MS + 31, &order.starts[0].id.job, 1);
+    entry.remove_waiter(START_MS + 31, &order.starts[0].id.job, 1);
     let ends = vec![end(1, &order.starts[0].id, messages::How::Done)];
-    let done = entry.reported(START_MS + 60, key, report_ends(3, ends));
+    let done = entry.report_received(START_MS + 60, key, report_ends(3, ends));
 
     assert!(orders(&joined).is_empty());
     assert_eq!(answers(&done), [dispatch::Outcome::Completed]);
@@ -154,8 +154,8 @@
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
     entry.order_lost(START_MS + 250, key, &order, false);
 
-    let early = entry.reported(START_MS + 260, key, fixtures::report(2, 0, &[]));
-    let late = entry.reported(
+    let early = entry.report_received(START_MS + 260, key, fixtures::report(2, 0, &[]));
+    let late = entry.report_received(
         START_MS + 2 * runners::ORDER_VALID_MS + 1,
         key,
         fixtures::report(3, 0, &[]),
@@ -171,9 +171,9 @@
 fn a_report_from_before_the_order_ends_nothing() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
-    entry.ordered(START_MS + 3, key, &order, fixtures::reply(5, 1_600));
+    entry.order_answered(START_MS + 3, key, &order, fixtures::reply(5, 1_600));
 
-    let actions = entry.reported(START_MS + 4, key, fixtures::report(4, 0, &[]));
+    let actions = entry.report_received(START_MS + 4, key, fixtures::report(4, 0, &[]));
 
     assert!(orders(&actions).is_empty());
 }
@@ -187,16 +187,16 @@
     let job = fixtures::job(1, 1, 1_600, 60);
     let actions = entry.submit(START_MS, job, &fixtures::queue(), Some(5_000), 1);
     let order = orders(&actions).remove(0);
-    entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
-    let second = entry.found(START_MS + 2, &["10.0.0.2:7720".into()]);
+    entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
+    let second = entry.add_runners(START_MS + 2, &["10.0.0.2:7720".into()]);
     let [dispatch::Action::Watch(other)] = second[..] else {
         panic!("one watch: {second:?}");
     };
     let alive = entry.next_watch(START_MS + 400, key);
     let silent = entry.next_watch(START_MS + 500, key);
 
-    let gone_ms = START_MS + 400 + runners::GONE_MS;
-    entry.reported(gone_ms - 5, other, fixtures::report(1, 0, &[]));
+    let gone_ms = START_MS + 400 + runners::RUN_EXPIRY_MS;
+    entry.report_received(gone_ms - 5, other, fixtures::report(1, 0, &[]));
     let before = entry.tick(gone_ms);
     let after = entry.tick(gone_ms + 1);
 
@@ -211,24 +211,24 @@
 #[test]
 fn a_wide_job_takes_room_piece_by_piece_before_smaller_ones() {
     let (mut entry, key) = entry();
-    entry.reported(START_MS + 1, key, fixtures::report(2, 16_000, &[]));
+    entry.report_received(START_MS + 1, key, fixtures::report(2, 16_000, &[]));
     submit(&mut entry, START_MS + 2, 1, 8);
     let small = fixtures::job(2, 2, 1_600, 200);
     entry.submit(START_MS + 3, small, &fixtures::queue(), Some(1_500), 2);
 
-    let first = entry.reported(START_MS + 20, key, fixtures::report(3, 12_000, &[]));
+    let first = entry.report_received(START_MS + 20, key, fixtures::report(3, 12_000, &[]));
     let held: Vec<_> = orders(&first)[0]
         .starts
         .iter()
         .map(|start| start.id.clone())
         .collect();
-    entry.ordered(
+    entry.order_answered(
         START_MS + 21,
         key,
         &orders(&first)[0],
         fixtures::reply(4, 15_200),
     );
-    let second = entry.reported(START_MS + 40, key, fixtures::report(5, 3_200, &held));
+    let second = entry.report_received(START_MS + 40, key, fixtures::report(5, 3_200, &held));
 
     let jobs = |actions: &[dispatch::Action]| -> Vec<_> {
         let starts = orders(actions).into_iter().flat_map(|order| order.starts);
@@ -244,7 +244,7 @@
 #[test]
 fn a_job_without_room_is_refused_truthfully() {
     let (mut entry, key) = entry();
-    entry.reported(START_MS + 1, key, fixtures::report(2, 16_000, &[]));
+    entry.report_received(START_MS + 1, key, fixtures::report(2, 16_000, &[]));
     submit(&mut entry, START_MS + 2, 1, 2);
 
     let actions = entry.tick(START_MS + 1_600);
@@ -262,7 +262,7 @@
     let (mut entry, _key) = entry();
     let mut directives = fixtures::directives(4);
     directives.zones_out.push("bento".into());
-    entry.directed(directives);
+    entry.update_directives(directives);
 
     let actions = submit(&mut entry, START_MS + 2, 1, 1);
 
@@ -273,7 +273,7 @@
 /// An entry with three empty runners, of which it knows how two kinds of tasks fare.
 fn entry_with_three() -> (dispatch::Dispatcher, Vec<runners::RunnerKey>) {
     let (mut entry, first) = entry();
-    let found = entry.found(START_MS, &["10.0.0.2:7720".into(), "10.0.0.3:7720".into()]);
+    let found = entry.add_runners(START_MS, &["10.0.0.2:7720".into(), "10.0.0.3:7720".into()]);
     let mut keys = vec![first];
     for action in &found {
         if let dispatch::Action::Watch(key) = action {
@@ -299,7 +299,7 @@
             let is_full = id < 10 && u64::try_from(at).is_ok_and(|at| at != 1 + id / 2 % 2);
             let used_milli = if is_full { 16_000 } else { 0 };
             entry.next_watch(now_ms, *key);
-            entry.reported(now_ms, *key, fixtures::report(sequence, used_milli, &[]));
+            entry.report_received(now_ms, *key, fixtures::report(sequence, used_milli, &[]));
         }
         let mut queue = fixtures::queue();
         queue.name = smol_str::format_smolstr!("kind-{}", id % 2);
@@ -311,7 +311,7 @@
                 break;
             };
             sequence += 1;
-            entry.ordered(now_ms + 2, key, &order, fixtures::reply(sequence, 1_600));
+            entry.order_answered(now_ms + 2, key, &order, fixtures::reply(sequence, 1_600));
             let how = if key == bad {
                 messages::How::Failed
             } else {
@@ -320,7 +320,7 @@
             to_bad.extend((key == bad).then_some(id));
             let ends = vec![end(sequence, &order.starts[0].id, how)];
             sequence += 1;
-            actions = entry.reported(now_ms + 50, key, report_ends(sequence, ends));
+            actions = entry.report_received(now_ms + 50, key, report_ends(sequence, ends));
         }
     }
 
@@ -332,16 +332,16 @@
 /// An entry that has heard from ten runners of 16 cores, all empty.
 fn entry_with_ten(me: ids::Incarnation) -> dispatch::Dispatcher {
     let mut entry = dispatch::Dispatcher::new(me, "bento".into());
-    entry.directed(fixtures::directives(3));
+    entry.update_directives(fixtures::directives(3));
     let addresses: Vec<_> = (1..=10)
         .map(|at| smol_str::format_smolstr!("10.0.0.{at}:7720"))
         .collect();
-    for action in entry.found(START_MS - 10, &addresses) {
+    for action in entry.add_runners(START_MS - 10, &addresses) {
         let dispatch::Action::Watch(key) = action else {
             panic!("a watch: {action:?}");
         };
         entry.next_watch(START_MS - 10, key);
-        entry.reported(START_MS, key, fixtures::report(1, 0, &[]));
+        entry.report_received(START_MS, key, fixtures::report(1, 0, &[]));
     }
     entry
 }
@@ -399,7 +399,7 @@
         refused: vec![(order.starts[0].id.clone(), messages::Refusal::Room)],
         ..fixtures::reply(2, 16_000)
     };
-    entry.ordered(START_MS + 2, key, &order, refused);
+    entry.order_answered(START_MS + 2, key, &order, refused);
 
     // 60 ms of work have an objective of 156 ms.
     let in_time = entry.tick(START_MS + 96);
@@ -419,14 +419,14 @@
     let (mut entry, key) = entry();
     let mut full = fixtures::report(2, 16_000, &[]);
     full.load.line = messages::Line::default();
-    entry.reported(START_MS + 1, key, full);
+    entry.report_received(START_MS + 1, key, full);
 
     let order = orders(&submit(&mut entry, START_MS + 2, 1, 3)).remove(0);
     let waiting: Vec<_> = order.starts.iter().map(|start| start.id.clone()).collect();
-    entry.ordered(START_MS + 4, key, &order, fixtures::reply(3, 16_000));
+    entry.order_answered(START_MS + 4, key, &order, fixtures::reply(3, 16_000));
     let ends = waiting.iter().zip(1..);
     let ends = ends.map(|(id, number)| end(number, id, messages::How::NotStarted));
-    let given_back = entry.reported(START_MS + 100, key, report_full(4, ends.collect()));
+    let given_back = entry.report_received(START_MS + 100, key, report_full(4, ends.collect()));
     let over = entry.tick(START_MS + 100);
 
     // A quarter of 16 cores may wait: two of the three tasks.
--- a/tests/unit/leased/jobs.rs
+++ b/tests/unit/leased/jobs.rs
@@ -57,7 +57,7 @@
 fn the_longest_chain_counts() {
     let job = job::Job::try_from(raw(vec![step(1, &[]), step(4, &[0]), step(1, &[])]));
 
-    assert_eq!(job.expect("a good job").chain_ms(), 200);
+    assert_eq!(job.expect("a good job").critical_path_ms(), 200);
 }
 
 #[test]
--- a/tests/unit/leased/placement.rs
+++ b/tests/unit/leased/placement.rs
@@ -32,7 +32,7 @@
         need: fixtures::cores(cpu_milli),
         label: None,
         rack: None,
-        per_server: u32::MAX,
+        max_per_server: u32::MAX,
         may_wait: false,
         class: 1,
     };
@@ -77,7 +77,7 @@
     let mut asks = asks(3, 1_000);
     for ask in &mut asks {
         ask.label = Some(&label);
-        ask.per_server = 2;
+        ask.max_per_server = 2;
     }
 
     let placed = placement::place(&asks, &mut free);
--- a/tests/unit/leased/play/site.rs
+++ b/tests/unit/leased/play/site.rs
@@ -32,7 +32,7 @@
             runners: 8,
             zones: 1,
             task_milli: 1_600,
-            watch_set: watching::SET,
+            watch_set: watching::DEFAULT_SET_SIZE,
         }
     }
 }
--- a/tests/unit/leased/play/world.rs
+++ b/tests/unit/leased/play/world.rs
@@ -140,7 +140,9 @@
         let members: Vec<_> = (0..self.site.runners)
             .map(|runner| self.site.member(runner))
             .collect();
-        let actions = self.entries[at].dispatcher.listed(self.now_ms, &members);
+        let actions = self.entries[at]
+            .dispatcher
+            .update_listing(self.now_ms, &members);
         self.act(at, actions);
     }
 
@@ -348,7 +350,7 @@
                     }
                     let key = held.keys[&runner];
                     let dispatcher = &mut self.entries[entry].dispatcher;
-                    let actions = dispatcher.ordered(now_ms, key, &order, reply);
+                    let actions = dispatcher.order_answered(now_ms, key, &order, reply);
                     self.act(entry, actions);
                 }
                 letters::Message::Reported(report, number) => {
@@ -358,7 +360,7 @@
                     }
                     let key = self.entries[entry].keys[&runner];
                     let dispatcher = &mut self.entries[entry].dispatcher;
-                    let actions = dispatcher.reported(now_ms, key, report);
+                    let actions = dispatcher.report_received(now_ms, key, report);
                     self.act(entry, actions);
                     self.ask(entry, key);
                 }
@@ -403,7 +405,7 @@
                     self.send(entry, runner, letters::Message::Order(order));
                 }
                 dispatch::Action::Watch(key) => self.ask(entry, key),
-                dispatch::Action::Learn(holder) => panic!("every entry was told; asked {holder}"),
+                dispatch::Action::Fetch(holder) => panic!("every entry was told; asked {holder}"),
                 dispatch::Action::Answer(waiter, outcome) => {
                     let at = usize::try_from(waiter).expect("a small number");
                     self.calls[at].ended = Some((self.now_ms, outcome));
@@ -483,7 +485,7 @@
         dispatch::Dispatcher::new(me, site.zone_of(at)).with_watch_set(site.watch_set);
     let mut directives = fixtures::directives(3);
     directives.queues = [load::checks(), load::reports()].into();
-    dispatcher.directed(directives);
+    dispatcher.update_directives(directives);
     Entry {
         me,
         dispatcher,
--- a/tests/unit/leased/watching.rs
+++ b/tests/unit/leased/watching.rs
@@ -96,7 +96,7 @@
 /// An entry that watches one runner of two in any case, and has heard it.
 fn entry_beside_two(used_milli: u32) -> (dispatch::Dispatcher, runners::RunnerKey) {
     let mut entry = entry(1, 0).with_watch_set(1);
-    let watched = opened(&entry.listed(START_MS, &[member(0, 0), member(0, 1)]));
+    let watched = opened(&entry.update_listing(START_MS, &[member(0, 0), member(0, 1)]));
     assert_eq!(watched.len(), 1);
     hear(&mut entry, START_MS, watched[0], used_milli);
     (entry, watched[0])
@@ -104,7 +104,7 @@
 
 fn hear(entry: &mut dispatch::Dispatcher, now_ms: u64, key: runners::RunnerKey, used_milli: u32) {
     let (address, _) = entry.next_watch(now_ms, key).expect("a watch");
-    entry.reported(now_ms, key, report(&address, now_ms, used_milli));
+    entry.report_received(now_ms, key, report(&address, now_ms, used_milli));
 }
 
 fn submit(entry: &mut dispatch::Dispatcher, now_ms: u64, id: u64) -> Vec<dispatch::Action> {
@@ -117,11 +117,11 @@
 fn an_entry_watches_as_many_of_many_runners_as_of_few() {
     let few: Vec<_> = members().into_iter().take(60).collect();
 
-    let of_few = opened(&entry(1, 0).listed(START_MS, &few));
-    let of_many = opened(&entry(1, 0).listed(START_MS, &members()));
+    let of_few = opened(&entry(1, 0).update_listing(START_MS, &few));
+    let of_many = opened(&entry(1, 0).update_listing(START_MS, &members()));
 
-    assert_eq!(of_few.len(), watching::SET);
-    assert_eq!(of_many.len(), watching::SET);
+    assert_eq!(of_few.len(), watching::DEFAULT_SET_SIZE);
+    assert_eq!(of_many.len(), watching::DEFAULT_SET_SIZE);
 }
 
 /// Guards against less in sight where there are no more runners than the set holds.
@@ -129,7 +129,7 @@
 fn where_there_are_few_runners_all_are_watched() {
     let few: Vec<_> = members().into_iter().take(11).collect();
 
-    let watched = opened(&entry(1, 0).listed(START_MS, &few));
+    let watched = opened(&entry(1, 0).update_listing(START_MS, &few));
 
     assert_eq!(watched.len(), 11);
 }
@@ -145,7 +145,7 @@
     for zone_at in 0..ZONES {
         for at in 0..ENTRIES_A_ZONE {
             let mut entry = entry(1 + 100 * zone_at as u64 + at, zone_at);
-            let watched = opened(&entry.listed(START_MS, &members()));
+            let watched = opened(&entry.update_listing(START_MS, &members()));
             for address in addresses(&mut entry, &watched) {
                 *watched_by.entry(address).or_default() += 1;
             }
@@ -153,7 +153,7 @@
     }
 
     let entries = ZONES as u64 * ENTRIES_A_ZONE;
-    let mean = entries as f64 * watching::SET as f64 / members().len() as f64;
+    let mean = entries as f64 * watching::DEFAULT_SET_SIZE as f64 / members().len() as f64;
     let most = *watched_by.values().max().expect("runners") as f64;
     let least = *watched_by.values().min().expect("runners");
     assert!(most <= 2.5 * mean, "{most} {mean}");
@@ -164,7 +164,7 @@
 #[test]
 fn a_set_moves_little_when_a_runner_goes() {
     let mut before = entry(1, 0);
-    let watched = opened(&before.listed(START_MS, &members()));
+    let watched = opened(&before.update_listing(START_MS, &members()));
     let before = addresses(&mut before, &watched);
     let gone = before.first().expect("a watched runner").clone();
     let left: Vec<_> = members()
@@ -173,7 +173,7 @@
         .collect();
 
     let mut after = entry(1, 0);
-    let watched = opened(&after.listed(START_MS, &left));
+    let watched = opened(&after.update_listing(START_MS, &left));
 
     let after = addresses(&mut after, &watched);
     // One far runner may change its place with a near one behind it.
@@ -188,7 +188,7 @@
 #[test]
 fn an_entry_whose_set_is_silent_watches_others_within_a_second() {
     let mut entry = entry(1, 0);
-    let set = opened(&entry.listed(START_MS, &members()));
+    let set = opened(&entry.update_listing(START_MS, &members()));
     for key in &set {
         hear(&mut entry, START_MS, *key, 0);
     }
@@ -202,15 +202,15 @@
         hear(&mut entry, end_ms, *key, 0);
     }
 
-    assert_eq!(later.len(), watching::SET);
-    assert_eq!(entry.usable(end_ms), watching::SET);
+    assert_eq!(later.len(), watching::DEFAULT_SET_SIZE);
+    assert_eq!(entry.usable(end_ms), watching::DEFAULT_SET_SIZE);
 }
 
 /// Guards against a set that never comes to an end while nothing in it answers.
 #[test]
 fn where_nobody_answers_all_are_tried_in_turn() {
     let mut entry = entry(1, 0);
-    let mut tried = opened(&entry.listed(START_MS, &members()));
+    let mut tried = opened(&entry.update_listing(START_MS, &members()));
 
     let end_ms = START_MS + 11 * GRACE_MS;
     for now_ms in ticks(START_MS, end_ms) {
@@ -229,7 +229,7 @@
     assert_eq!(asked.len(), 1, "nobody else was asked");
     assert_ne!(asked[0], full);
     let (address, _) = entry.next_watch(START_MS + 1, asked[0]).expect("a watch");
-    let placed = orders(&entry.reported(START_MS + 4, asked[0], report(&address, 1, 0)));
+    let placed = orders(&entry.report_received(START_MS + 4, asked[0], report(&address, 1, 0)));
 
     assert_eq!(placed.len(), 1);
     assert_eq!(placed[0].0, asked[0]);
@@ -251,7 +251,7 @@
 fn while_nobody_has_room_ever_fewer_are_asked() {
     let mut entry = entry(1, 0).with_watch_set(1);
     let mut asked = 0;
-    entry.listed(START_MS, &members());
+    entry.update_listing(START_MS, &members());
 
     for at in 0..100 {
         let now_ms = START_MS + at * TICK_MS;
@@ -273,7 +273,7 @@
     let (mut entry, full) = entry_beside_two(16_000);
     let other = opened(&submit(&mut entry, START_MS, 1))[0];
     let (address, _) = entry.next_watch(START_MS + 1, other).expect("a watch");
-    let placed = orders(&entry.reported(START_MS + 4, other, report(&address, 1, 0)));
+    let placed = orders(&entry.report_received(START_MS + 4, other, report(&address, 1, 0)));
     let run = placed[0].1.starts[0].id.clone();
 
     // As long as the run isn't over its lease is renewed, however long that takes.
@@ -289,7 +289,7 @@
         }],
         ..report(&address, 2, 0)
     };
-    entry.reported(late_ms, other, ended);
+    entry.report_received(late_ms, other, ended);
 
     assert!(entry.next_watch(late_ms + 1, other).is_none());
     assert!(entry.next_watch(late_ms + 1, full).is_some());
@@ -314,11 +314,11 @@
 #[test]
 fn a_runner_that_is_leaving_is_left_alone_for_a_while() {
     let mut entry = entry(1, 0);
-    let key = opened(&entry.listed(START_MS, &[member(0, 0)]))[0];
+    let key = opened(&entry.update_listing(START_MS, &[member(0, 0)]))[0];
     let (address, _) = entry.next_watch(START_MS, key).expect("a watch");
     let mut leaving = report(&address, 1, 0);
     leaving.load.readiness = messages::Readiness::Leaving;
-    entry.reported(START_MS + 2, key, leaving);
+    entry.report_received(START_MS + 2, key, leaving);
 
     let on_the_way = entry.next_watch(START_MS + 3, key);
     let soon = opened(&entry.tick(START_MS + 200));
@@ -335,7 +335,7 @@
 #[test]
 fn a_runner_that_is_listed_is_known_however_long_it_is_silent() {
     let mut entry = entry(1, 0);
-    entry.listed(START_MS, &[member(0, 0)]);
+    entry.update_listing(START_MS, &[member(0, 0)]);
 
     entry.tick(START_MS + 120_000);
 
@@ -346,8 +346,8 @@
 #[test]
 fn a_runner_that_is_not_listed_any_more_is_forgotten() {
     let mut entry = entry(1, 0);
-    entry.listed(START_MS, &[member(0, 0), member(0, 1)]);
-    entry.listed(START_MS + 1_000, &[member(0, 0)]);
+    entry.update_listing(START_MS, &[member(0, 0), member(0, 1)]);
+    entry.update_listing(START_MS + 1_000, &[member(0, 0)]);
 
     entry.tick(START_MS + 62_000);
 
