--- a/src/leased/dispatch/catching_up.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -19,16 +19,16 @@
 
 /// Whom to ask, and when.
 #[derive(Clone, Debug, Default)]
-pub struct CatchingUp {
+pub struct DirectivesFetch {
     since_ms: Option<u64>,
     holders: collections::VecDeque<SmolStr>,
     is_asking: bool,
     not_before_ms: u64,
 }
 
-impl CatchingUp {
+impl DirectivesFetch {
     /// An entry was named that has the configuration.
-    pub fn name(&mut self, holder: SmolStr) {
+    pub fn add_holder(&mut self, holder: SmolStr) {
         if self.holders.contains(&holder) {
             return;
         }
@@ -40,7 +40,7 @@
 
     /// Whom to ask now; `is_lacking` tells that the configuration is missing here, and
     /// `has_any` that an older one is in force meanwhile.
-    pub fn next(&mut self, now_ms: u64, is_lacking: bool, has_any: bool) -> Option<SmolStr> {
+    pub fn next_holder(&mut self, now_ms: u64, is_lacking: bool, has_any: bool) -> Option<SmolStr> {
         if !is_lacking {
             self.since_ms = None;
             self.holders.clear();
