--- a/src/leased/room/answers.rs
+++ b/src/leased/capacity/call_timeout.rs
@@ -24,15 +24,15 @@
 
 /// The answers that came of late.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct AnswerTimes {
+pub struct CallTimeout {
     slowest_ms: u64,
     /// Calls in a row without an answer.
     missed: u32,
 }
 
-impl AnswerTimes {
+impl CallTimeout {
     /// A call was answered after so many milliseconds.
-    pub fn answered(&mut self, took_ms: u64) {
+    pub fn record_response(&mut self, took_ms: u64) {
         let faded_ms = self.slowest_ms - self.slowest_ms.div_ceil(DECAY);
         self.slowest_ms = faded_ms.max(took_ms);
         self.missed = 0;
@@ -42,12 +42,12 @@
     ///
     /// The limits grow, or an instance that has turned slow would never hear an answer that
     /// could tell it so.
-    pub fn missed(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.missed = (self.missed + 1).min(MOST_DOUBLED);
     }
 
     /// How long the next call's answer is waited for, in milliseconds.
-    pub fn limit_ms(&self) -> u64 {
+    pub fn timeout_ms(&self) -> u64 {
         let usual_ms = (FACTOR * self.slowest_ms).max(LEAST_MS);
         (usual_ms << self.missed).min(MOST_MS)
     }
--- a/src/leased/room/silence.rs
+++ b/src/leased/capacity/expiry.rs
@@ -2,17 +2,17 @@
 
 use std::collections;
 
+use crate::leased::capacity;
+use crate::leased::capacity::owners;
 use crate::leased::messages;
-use crate::leased::room;
-use crate::leased::room::owners;
 
 /// Time after which an entry without runs and signs of life is forgotten, in milliseconds.
 const FORGET_OWNER_MS: u64 = 10_000;
 
-impl room::Room {
+impl capacity::CapacityManager {
     /// Time passes: silent entries lose their runs, unheard stops are sent again, and
     /// leases lapse.
-    pub fn tick(&mut self, now_ms: u64) -> Vec<room::Action> {
+    pub fn tick(&mut self, now_ms: u64) -> Vec<capacity::Action> {
         self.forget_owners(now_ms);
         if !self.runs.is_empty() && self.clock.has_lapsed(now_ms) {
             self.end_life(now_ms, "every lease has lapsed");
@@ -39,17 +39,17 @@
         &self,
         now_ms: u64,
         id: &messages::RunId,
-        run: &room::Run,
+        run: &capacity::Run,
     ) -> Option<(messages::RunId, &'static str)> {
         if let Some(stop) = run.stop {
-            let is_due = !stop.is_noted && now_ms >= stop.called_ms + room::STOP_AGAIN_MS;
+            let is_due = !stop.is_noted && now_ms >= stop.called_ms + capacity::STOP_AGAIN_MS;
             return is_due.then(|| (id.clone(), "not noted yet"));
         }
         let alive_at_ms = self
             .owners
             .get(&run.owner)
             .map_or(0, owners::Owner::alive_at_ms);
-        let is_silent = now_ms > alive_at_ms + room::OWNER_SILENCE_MS;
+        let is_silent = now_ms > alive_at_ms + capacity::OWNER_TIMEOUT_MS;
         if run.must_stop {
             return Some((id.clone(), "meant for a former life"));
         }
--- a/src/leased/room/lists.rs
+++ b/src/leased/capacity/listings.rs
@@ -2,9 +2,9 @@
 
 use std::collections;
 
+use crate::leased::capacity;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
 
 /// Longest wait of the question what runs; a lease is renewed as often, in milliseconds.
 const LIST_WAIT_MS: u64 = 200;
@@ -23,7 +23,7 @@
 /// from which the first one is taken, in milliseconds.
 const FENCE_STEP: u64 = 60_000;
 
-impl room::Room {
+impl capacity::CapacityManager {
     /// The next question what runs.
     pub fn next_list(&mut self, now_ms: u64) -> ports::ListCall {
         let is_renewed = self.clock.is_known() && !self.runs.is_empty();
@@ -35,7 +35,7 @@
             lease_until_ms: is_renewed.then(|| self.clock.grant(now_ms, lease_ms)),
             acked: self.acked,
             wait_ms: self.list_wait_ms,
-            limit_ms: self.answers.limit_ms(),
+            limit_ms: self.call_timeout.timeout_ms(),
         }
     }
 
@@ -59,7 +59,7 @@
         now_ms: u64,
         asked_ms: u64,
         answer: ports::ListAnswer,
-    ) -> Vec<room::Action> {
+    ) -> Vec<capacity::Action> {
         self.note_answer(now_ms, asked_ms, &answer);
         let mut actions = match answer {
             ports::ListAnswer::Listed(listing) => self.take_list(now_ms, asked_ms, &listing),
@@ -84,8 +84,8 @@
     fn note_answer(&mut self, now_ms: u64, asked_ms: u64, answer: &ports::ListAnswer) {
         let beyond_ms = now_ms.saturating_sub(asked_ms + self.list_wait_ms);
         match answer {
-            ports::ListAnswer::Lost => self.answers.missed(),
-            _ if beyond_ms > 0 => self.answers.answered(beyond_ms),
+            ports::ListAnswer::Lost => self.call_timeout.record_timeout(),
+            _ if beyond_ms > 0 => self.call_timeout.record_response(beyond_ms),
             _ => {}
         }
     }
@@ -95,7 +95,7 @@
         now_ms: u64,
         asked_ms: u64,
         listing: &ports::Listing,
-    ) -> Vec<room::Action> {
+    ) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
@@ -125,7 +125,7 @@
     fn end_missing(&mut self, now_ms: u64, asked_ms: u64, listing: &ports::Listing) {
         let listed: collections::HashSet<_> =
             listing.running.iter().map(|running| &running.id).collect();
-        let is_missing = |(id, run): &(&messages::RunId, &room::Run)| {
+        let is_missing = |(id, run): &(&messages::RunId, &capacity::Run)| {
             run.settled_ms.is_some_and(|at| at < asked_ms) && !listed.contains(id)
         };
         let missing = self.runs.iter().filter(is_missing);
@@ -137,7 +137,7 @@
 
     /// Stops what a former life of the runner started; until it is gone, its room and the
     /// second runs that it would allow are unknown, and nothing new is taken.
-    fn stop_unknown(&mut self, listing: &ports::Listing) -> Vec<room::Action> {
+    fn stop_unknown(&mut self, listing: &ports::Listing) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
@@ -145,11 +145,11 @@
         let unknown: Vec<_> = listing.running.iter().filter(is_unknown).collect();
         let calls = unknown.iter().map(|running| {
             log::info!(event = "run.stop", run:% = running.id, why = "left by a former life"; "stopping");
-            room::Action::Stop(ports::StopCall {
+            capacity::Action::Stop(ports::StopCall {
                 id: running.id.clone(),
                 life: backend.life.clone(),
                 fence: self.fence,
-                limit_ms: self.answers.limit_ms(),
+                limit_ms: self.call_timeout.timeout_ms(),
             })
         });
         let calls: Vec<_> = calls.collect();
--- a/src/leased/room/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -4,13 +4,13 @@
 //! room: a run takes room from the moment it is ordered until the backend server lists
 //! its end, or until it is certain that it never started.
 
-pub mod answers;
-pub mod lease;
-pub mod line;
-pub mod lists;
+pub mod backend_clock;
+pub mod call_timeout;
+pub mod expiry;
+pub mod listings;
 pub mod orders;
 pub mod owners;
-pub mod silence;
+pub mod wait_queue;
 
 use std::collections;
 use std::sync;
@@ -25,7 +25,7 @@
 
 /// How long an entry may give no sign of life before its runs are stopped, in
 /// milliseconds. Three watches of 150 ms may be lost on the way.
-pub const OWNER_SILENCE_MS: u64 = 500;
+pub const OWNER_TIMEOUT_MS: u64 = 500;
 
 /// Lease of the backend server's runs, in milliseconds: three renewals may be lost.
 pub const LEASE_MS: u64 = 700;
@@ -60,7 +60,7 @@
     /// When it was ordered; once it has waited, when its start was sent.
     ordered_ms: u64,
     /// Its place in the line, as long as it waits for room.
-    place: Option<line::Place>,
+    place: Option<wait_queue::Place>,
     /// Whether a list has shown it running.
     is_listed: bool,
     /// Whether it is to be stopped whatever its entry wants.
@@ -78,11 +78,11 @@
 
 /// The state of one runner.
 #[derive(Debug)]
-pub struct Room {
+pub struct CapacityManager {
     me: ids::Incarnation,
     fence: u64,
     backend: Option<ports::Announcement>,
-    clock: lease::BackendClock,
+    clock: backend_clock::BackendClock,
     owners: collections::HashMap<ids::Incarnation, owners::Owner>,
     runs: collections::HashMap<messages::RunId, Run>,
     used: wire::Resources,
@@ -92,7 +92,7 @@
     holder: Option<SmolStr>,
     acked: u64,
     listed_asked_ms: u64,
-    answers: answers::AnswerTimes,
+    call_timeout: call_timeout::CallTimeout,
     /// Wait of the last question what runs, in milliseconds.
     list_wait_ms: u64,
     heard_ms: Option<u64>,
@@ -102,14 +102,14 @@
     told_readiness: messages::Readiness,
 }
 
-impl Room {
+impl CapacityManager {
     /// A runner that has heard nothing yet; `fence` should grow from life to life.
     pub fn new(me: ids::Incarnation, fence: u64) -> Self {
         Self {
             me,
             fence,
             backend: None,
-            clock: lease::BackendClock::default(),
+            clock: backend_clock::BackendClock::default(),
             owners: collections::HashMap::new(),
             runs: collections::HashMap::new(),
             used: wire::Resources::default(),
@@ -118,7 +118,7 @@
             holder: None,
             acked: 0,
             listed_asked_ms: 0,
-            answers: answers::AnswerTimes::default(),
+            call_timeout: call_timeout::CallTimeout::default(),
             list_wait_ms: 0,
             heard_ms: None,
             is_clean: false,
@@ -254,7 +254,7 @@
         for id in ids {
             self.end(now_ms, &id, messages::How::Stopped);
         }
-        self.clock = lease::BackendClock::default();
+        self.clock = backend_clock::BackendClock::default();
         self.acked = 0;
         self.is_clean = false;
         self.listed_asked_ms = now_ms;
@@ -265,7 +265,7 @@
         self.latest.get()
     }
 
-    fn hear_directives(&mut self, watch: &messages::Watch) {
+    fn update_directives(&mut self, watch: &messages::Watch) {
         let is_news = watch
             .notice
             .as_ref()
@@ -281,7 +281,7 @@
     /// An entry asks; its lease is renewed, and what it no longer wants is stopped.
     pub fn watch(&mut self, now_ms: u64, watch: &messages::Watch) -> Vec<Action> {
         let mut actions = self.tick(now_ms);
-        self.hear_directives(watch);
+        self.update_directives(watch);
         let owner = self.owners.entry(watch.entry).or_default();
         let is_meant = watch.runner == Some(self.me);
         if !is_meant {
@@ -387,8 +387,10 @@
             return actions;
         };
         match answer {
-            ports::StartAnswer::Lost => self.answers.missed(),
-            _ => self.answers.answered(now_ms.saturating_sub(run.ordered_ms)),
+            ports::StartAnswer::Lost => self.call_timeout.record_timeout(),
+            _ => self
+                .call_timeout
+                .record_response(now_ms.saturating_sub(run.ordered_ms)),
         }
         match answer {
             ports::StartAnswer::Started => run.settled_ms = Some(now_ms),
@@ -428,7 +430,7 @@
             id: id.clone(),
             life,
             fence: self.fence,
-            limit_ms: self.answers.limit_ms(),
+            limit_ms: self.call_timeout.timeout_ms(),
         }))
     }
 
@@ -441,7 +443,8 @@
             && is_noted
         {
             stop.is_noted = true;
-            self.answers.answered(now_ms.saturating_sub(stop.called_ms));
+            self.call_timeout
+                .record_response(now_ms.saturating_sub(stop.called_ms));
             run.settled_ms = Some(run.settled_ms.unwrap_or(now_ms).max(now_ms));
         }
     }
--- a/src/leased/room/orders.rs
+++ b/src/leased/capacity/orders.rs
@@ -1,19 +1,19 @@
 //! What a runner makes of an entry's orders: refused, started, or put into the line.
 
 use crate::ids;
+use crate::leased::capacity;
+use crate::leased::capacity::wait_queue;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
-use crate::leased::room::line;
 use crate::wire;
 
-impl room::Room {
+impl capacity::CapacityManager {
     /// An entry orders runs.
     pub fn order(
         &mut self,
         now_ms: u64,
         order: messages::Order,
-    ) -> (messages::OrderReply, Vec<room::Action>) {
+    ) -> (messages::OrderReply, Vec<capacity::Action>) {
         let mut actions = self.tick(now_ms);
         let mut refused = Vec::new();
         let is_late = order.runner != self.me || order.valid_until_ms < now_ms;
@@ -79,7 +79,7 @@
         start: &messages::Start,
     ) -> Option<messages::Refusal> {
         let owner = self.owners.get(&entry)?;
-        if owner.alive_at_ms() + room::OWNER_SILENCE_MS < now_ms {
+        if owner.alive_at_ms() + capacity::OWNER_TIMEOUT_MS < now_ms {
             return Some(messages::Refusal::Late);
         }
         if owner.is_unwanted(number, &start.id) {
@@ -108,16 +108,16 @@
         owner: ids::Incarnation,
         order: u64,
         start: messages::Start,
-    ) -> Option<room::Action> {
+    ) -> Option<capacity::Action> {
         let size = self.backend.as_ref()?.size;
         let (id, need) = (start.id.clone(), start.need);
         self.line.join(start.wait.class, need.cpu_milli);
-        let run = room::Run {
+        let run = capacity::Run {
             owner,
             order,
             need,
             ordered_ms: now_ms,
-            place: Some(line::Place::new(now_ms, start)),
+            place: Some(wait_queue::Place::new(now_ms, start)),
             is_listed: false,
             must_stop: false,
             settled_ms: None,
@@ -133,7 +133,7 @@
     }
 
     /// Starts a run that has room now.
-    pub(super) fn begin(&mut self, now_ms: u64, id: &messages::RunId) -> Option<room::Action> {
+    pub(super) fn begin(&mut self, now_ms: u64, id: &messages::RunId) -> Option<capacity::Action> {
         let life = self.backend.as_ref()?.life.clone();
         let run = self.runs.get_mut(id)?;
         let start = run.place.take()?.start;
@@ -144,12 +144,12 @@
         self.used = self.used.plus(&start.need);
         let lease_until_ms = self.clock.grant(now_ms, self.lease_ms(now_ms));
         log::info!(event = "run.start", run:% = start.id, owner:% = owner, waited_ms = waited_ms, cpu_milli = start.need.cpu_milli, used_milli = self.used.cpu_milli; "starting");
-        Some(room::Action::Start(ports::StartCall {
+        Some(capacity::Action::Start(ports::StartCall {
             start,
             life,
             fence: self.fence,
             lease_until_ms,
-            limit_ms: self.answers.limit_ms(),
+            limit_ms: self.call_timeout.timeout_ms(),
         }))
     }
 }
--- a/src/leased/room/line.rs
+++ b/src/leased/capacity/wait_queue.rs
@@ -11,13 +11,13 @@
 //! urgent one, which goes back to its entry unstarted. Otherwise long jobs that have time in
 //! hand fill every line, and the last task of a short one finds no place until it is late.
 
+use crate::leased::capacity;
 use crate::leased::messages;
-use crate::leased::room;
 use crate::wire;
 
 /// Part of the backend server's size that may wait, as a divisor: two or three tasks beside
 /// ten that run, of which one ends every few tens of milliseconds.
-pub const LINE_SHARE: u32 = 4;
+pub const WAIT_QUEUE_CPU_DIVISOR: u32 = 4;
 
 /// A job's class, and when its run should start; the least goes first.
 type Urgency = (u8, u64);
@@ -53,7 +53,7 @@
     }
 }
 
-impl room::Room {
+impl capacity::CapacityManager {
     /// Whether a run that finds no room may wait for it: what is less urgent doesn't count.
     pub(super) fn has_line_for(
         &self,
@@ -67,12 +67,13 @@
         let ahead_milli: u32 = ahead.map(|place| place.start.need.cpu_milli).sum();
         start.wait.most_ms > 0
             && start.need.fits_in(size)
-            && ahead_milli.saturating_add(start.need.cpu_milli) <= size.cpu_milli / LINE_SHARE
+            && ahead_milli.saturating_add(start.need.cpu_milli)
+                <= size.cpu_milli / WAIT_QUEUE_CPU_DIVISOR
     }
 
     /// Gives the least urgent runs back until the line is as short as it has to be.
     pub(super) fn shorten_line(&mut self, now_ms: u64, size: &wire::Resources) {
-        while self.line.total_milli() > size.cpu_milli / LINE_SHARE {
+        while self.line.total_milli() > size.cpu_milli / WAIT_QUEUE_CPU_DIVISOR {
             let Some(id) = self.least_urgent() else {
                 return;
             };
@@ -94,7 +95,7 @@
     ///
     /// One that doesn't fit yet is passed over, so that no room stands empty for it; its wait
     /// is bounded all the same.
-    pub(super) fn serve_line(&mut self, now_ms: u64) -> Vec<room::Action> {
+    pub(super) fn serve_line(&mut self, now_ms: u64) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
--- a/src/leased/dispatch/runners.rs
+++ b/src/leased/dispatch/runners.rs
@@ -9,12 +9,12 @@
 
 use crate::health;
 use crate::ids;
+use crate::leased::capacity;
+use crate::leased::capacity::wait_queue;
 use crate::leased::dispatch::jobs;
 use crate::leased::dispatch::watching;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
-use crate::leased::room::line;
 use crate::wire;
 
 pub use crate::membership::RunnerKey;
@@ -29,7 +29,7 @@
 
 /// Silence after which a runner's runs are surely over, in milliseconds: the lease that
 /// the entry's last sign of life allows, 2 % more for a slow clock, a stop, and a way.
-pub const GONE_MS: u64 = room::OWNER_LEASE_MS + room::OWNER_LEASE_MS / 50 + 100;
+pub const GONE_MS: u64 = capacity::OWNER_LEASE_MS + capacity::OWNER_LEASE_MS / 50 + 100;
 
 /// Silence after which a runner that the store doesn't list is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
@@ -230,7 +230,7 @@
             .values()
             .filter(|placed| placed.accepted.is_none() && placed.waits);
         let on_the_way: u32 = on_the_way.map(|placed| placed.need.cpu_milli).sum();
-        let most = self.load.size.cpu_milli / line::LINE_SHARE;
+        let most = self.load.size.cpu_milli / wait_queue::WAIT_QUEUE_CPU_DIVISOR;
         [0, 1, 2, 3, 4].map(|class| {
             most.saturating_sub(self.load.line.up_to(class))
                 .saturating_sub(on_the_way)
--- a/src/leased/mod.rs
+++ b/src/leased/mod.rs
@@ -7,12 +7,13 @@
 //! | lease | who holds it | ends when |
 //! | --- | --- | --- |
 //! | of a caller | the entry, for one job | the connection breaks or the deadline passes |
-//! | of an entry | the runner, for all runs of one entry | [`room::OWNER_SILENCE_MS`] without a sign of life |
-//! | of a runner | the backend server, for all its runs | [`room::LEASE_MS`] without a renewal |
+//! | of an entry | the runner, for all runs of one entry | [`capacity::OWNER_TIMEOUT_MS`] without a sign of life |
+//! | of a runner | the backend server, for all its runs | [`capacity::LEASE_MS`] without a renewal |
 //!
 //! `docs/DESIGN-PLATFORM.md` has the arithmetic. [`dispatch`] decides for an entry and
 //! [`room`] for a runner; both are free of network and clock.
 
+pub mod capacity;
 pub mod directives;
 pub mod dispatch;
 pub mod entry;
@@ -22,6 +23,5 @@
 pub mod ports;
 pub mod process;
 pub mod queues;
-pub mod room;
 pub mod runner;
 pub mod traffic;
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -10,10 +10,10 @@
 use crate::clock;
 use crate::control;
 use crate::ids;
+use crate::leased::capacity;
 use crate::leased::dispatch;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
 use crate::leased::traffic;
 use crate::metrics;
 
@@ -51,7 +51,7 @@
 /// The control thread's state.
 #[derive(Debug)]
 pub struct Control {
-    room: room::Room,
+    room: capacity::CapacityManager,
     clock: clock::Clock,
     backend: Box<dyn ports::Backend>,
     traffic: sync::Arc<traffic::Traffic>,
@@ -66,7 +66,7 @@
     /// A runner that has heard nothing yet.
     pub fn new(parts: Parts) -> Self {
         Self {
-            room: room::Room::new(parts.me, parts.fence),
+            room: capacity::CapacityManager::new(parts.me, parts.fence),
             clock: parts.clock,
             backend: parts.backend,
             traffic: parts.traffic,
@@ -78,14 +78,14 @@
         }
     }
 
-    fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<room::Action>) {
+    fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<capacity::Action>) {
         for action in actions {
             match action {
-                room::Action::Start(call) => {
+                capacity::Action::Start(call) => {
                     self.starts += 1;
                     self.backend.start(call, cx.address().recipient());
                 }
-                room::Action::Stop(call) => {
+                capacity::Action::Stop(call) => {
                     self.stops += 1;
                     self.backend.stop(call, cx.address().recipient());
                 }
--- a/tests/unit/leased.rs
+++ b/tests/unit/leased.rs
@@ -1,15 +1,15 @@
 //! Runs under leases: the runner's room, the entry's decisions, and what passes between.
 
-mod answers;
+mod call_timeout;
+mod capacity;
 mod dispatch;
 mod fixtures;
 mod jobs;
-mod line;
 mod patience;
 mod placing;
 mod play;
 mod queues;
-mod room;
 mod spreading;
 mod urgency;
+mod wait_queue;
 mod watching;
--- a/tests/unit/leased/answers.rs
+++ b/tests/unit/leased/call_timeout.rs
@@ -1,18 +1,18 @@
 //! How long a backend server's answers are waited for.
 
+use bulrushtiller::leased::capacity;
+use bulrushtiller::leased::capacity::call_timeout;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
-use bulrushtiller::leased::room::answers;
 
 use crate::leased::fixtures;
 use crate::leased::fixtures::START_MS;
 
 /// Answers within a millisecond, as a sound backend server gives them.
-fn usual() -> answers::AnswerTimes {
-    let mut times = answers::AnswerTimes::default();
+fn usual() -> call_timeout::CallTimeout {
+    let mut times = call_timeout::CallTimeout::default();
     for _ in 0..20 {
-        times.answered(1);
+        times.record_response(1);
     }
     times
 }
@@ -20,17 +20,17 @@
 #[test]
 fn a_slow_instance_gets_longer_limits_and_a_fast_one_short_ones_again() {
     let mut times = usual();
-    let before_ms = times.limit_ms();
+    let before_ms = times.timeout_ms();
 
-    times.answered(30);
-    let slow_ms = times.limit_ms();
+    times.record_response(30);
+    let slow_ms = times.timeout_ms();
     for _ in 0..40 {
-        times.answered(1);
+        times.record_response(1);
     }
 
     assert_eq!(before_ms, 20);
     assert_eq!(slow_ms, 120);
-    assert_eq!(times.limit_ms(), 20);
+    assert_eq!(times.timeout_ms(), 20);
 }
 
 #[test]
@@ -41,20 +41,20 @@
     let mut times = usual();
     let mut calls = 0;
 
-    while times.limit_ms() < 150 {
-        times.missed();
+    while times.timeout_ms() < 150 {
+        times.record_timeout();
         calls += 1;
     }
-    times.answered(150);
+    times.record_response(150);
 
     assert!(calls <= 4, "{calls} calls");
-    assert!(times.limit_ms() >= 150);
+    assert!(times.timeout_ms() >= 150);
 }
 
 /// Room after a second of starts that were answered at once and ended, asked by a list that
 /// gets no answer.
-fn busy_room() -> (room::Room, messages::RunId) {
-    let mut room = fixtures::ready_room();
+fn busy_room() -> (capacity::CapacityManager, messages::RunId) {
+    let mut room = fixtures::ready_manager();
     room.watch(
         START_MS,
         &fixtures::watch(fixtures::ENTRY, START_MS, 0, &[]),
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_runner_with_nothing_to_hear_of_asks_seldom() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
 
     let call = room.next_list(START_MS + 5);
 
--- a/tests/unit/leased/room.rs
+++ b/tests/unit/leased/capacity.rs
@@ -1,8 +1,8 @@
 //! A runner's room, leases and stops.
 
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 use rstest::rstest;
 
 use super::fixtures;
@@ -11,8 +11,8 @@
 use super::fixtures::START_MS;
 
 /// A room in which one run of the entry was started.
-fn room_with_run() -> (room::Room, messages::RunId) {
-    let mut room = fixtures::ready_room();
+fn room_with_run() -> (capacity::CapacityManager, messages::RunId) {
+    let mut room = fixtures::ready_manager();
     let id = fixtures::run_id(1, 0, 1);
     let (reply, actions) = room.order(
         START_MS,
@@ -28,7 +28,7 @@
 /// would start all of it and every task would slow down; the second order is refused.
 #[test]
 fn two_entries_can_not_overfill_a_backend_server() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let first: Vec<_> = (0..10)
         .map(|at| (fixtures::run_id(1, at, 1), 1_600))
         .collect();
@@ -79,8 +79,8 @@
         &fixtures::watch(ENTRY, START_MS + 100, 1, std::slice::from_ref(&id)),
     );
 
-    let in_time = room.tick(START_MS + 100 + room::OWNER_SILENCE_MS);
-    let too_late = room.tick(START_MS + 101 + room::OWNER_SILENCE_MS);
+    let in_time = room.tick(START_MS + 100 + capacity::OWNER_TIMEOUT_MS);
+    let too_late = room.tick(START_MS + 101 + capacity::OWNER_TIMEOUT_MS);
 
     assert!(fixtures::stopped(&in_time).is_empty());
     assert_eq!(fixtures::stopped(&too_late), [id]);
@@ -91,7 +91,7 @@
 #[test]
 fn a_late_watch_is_no_sign_of_life() {
     let (mut room, id) = room_with_run();
-    let now_ms = START_MS + 51 + room::OWNER_SILENCE_MS;
+    let now_ms = START_MS + 51 + capacity::OWNER_TIMEOUT_MS;
 
     let actions = room.watch(
         now_ms,
@@ -108,19 +108,19 @@
 fn no_lease_outlasts_the_entry_by_more_than_its_bound() {
     let (mut room, id) = room_with_run();
     room.listed(START_MS + 10, START_MS + 5, fixtures::listing(5_010, &[id]));
-    let silent_ms = room::OWNER_SILENCE_MS - 1;
+    let silent_ms = capacity::OWNER_TIMEOUT_MS - 1;
 
     let call = room.next_list(START_MS + silent_ms);
 
     let until_ms = call.lease_until_ms.expect("renewed");
-    assert_eq!(until_ms, 5_000 + room::OWNER_LEASE_MS);
+    assert_eq!(until_ms, 5_000 + capacity::OWNER_LEASE_MS);
 }
 
 /// A start has no answer: it may run now, or seconds later. The runner has it stopped,
 /// keeps its room, and sends the stop again until it is noted.
 #[test]
 fn an_unanswered_start_is_stopped_until_noted() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let id = fixtures::run_id(1, 0, 1);
     room.order(
         START_MS,
@@ -159,7 +159,7 @@
 /// takes nothing in before all that its former life started is gone.
 #[test]
 fn a_restarted_runner_clears_what_its_former_life_started() {
-    let mut room = room::Room::new(fixtures::RUNNER, 10);
+    let mut room = capacity::CapacityManager::new(fixtures::RUNNER, 10);
     let left = fixtures::run_id(9, 0, 1);
     room.announced(START_MS, fixtures::announcement(100, 1));
 
@@ -180,7 +180,7 @@
 /// The backend server refuses; the runner takes a greater one.
 #[test]
 fn a_refused_fence_is_raised() {
-    let mut room = room::Room::new(fixtures::RUNNER, 10);
+    let mut room = capacity::CapacityManager::new(fixtures::RUNNER, 10);
     room.announced(START_MS, fixtures::announcement(100, 1));
     let before = room.next_list(START_MS).fence;
 
@@ -260,9 +260,9 @@
         );
     }
 
-    room.tick(START_MS + room::LEASE_MS);
+    room.tick(START_MS + capacity::LEASE_MS);
     let before = room.runs();
-    room.tick(START_MS + room::LEASE_MS + 30);
+    room.tick(START_MS + capacity::LEASE_MS + 30);
 
     assert_eq!(before, 1);
     assert_eq!(room.runs(), 0);
@@ -272,7 +272,7 @@
 /// has sent it again. The order names the moment after which it starts nothing.
 #[test]
 fn an_order_after_its_time_starts_nothing() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let id = fixtures::run_id(1, 0, 1);
     let order = fixtures::order(ENTRY, 1, START_MS, &[(id.clone(), 1_600)]);
 
@@ -286,7 +286,7 @@
 /// between. The run must not start: nobody would stop it.
 #[test]
 fn an_order_overtaken_by_its_taking_back_starts_nothing() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let id = fixtures::run_id(1, 0, 1);
     room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 1, &[]));
 
@@ -317,7 +317,7 @@
 /// has heard of it from another entry, refuses the order, and tells the first.
 #[test]
 fn a_zone_that_is_out_is_refused_by_whoever_knows() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let mut heard = fixtures::watch(OTHER, START_MS, 0, &[]);
     let notice = fixtures::notice(5, "bento");
     heard.notice = Some(notice.clone());
@@ -340,7 +340,7 @@
 /// former life wrote to the store, once the backend server's list shows the same life.
 #[test]
 fn a_restarted_runner_needs_no_heartbeat_of_a_life_that_it_knew() {
-    let mut room = room::Room::new(fixtures::RUNNER, 10);
+    let mut room = capacity::CapacityManager::new(fixtures::RUNNER, 10);
     room.recall(fixtures::announcement(100, 40));
     let before = room.readiness(START_MS);
 
@@ -357,7 +357,7 @@
 /// present life is not taken for its own.
 #[test]
 fn what_was_known_of_another_life_is_not_used() {
-    let mut room = room::Room::new(fixtures::RUNNER, 10);
+    let mut room = capacity::CapacityManager::new(fixtures::RUNNER, 10);
     room.recall(fixtures::announcement(50, 40));
 
     room.listed(START_MS + 2, START_MS + 1, fixtures::listing(5_000, &[]));
@@ -411,7 +411,7 @@
 /// must not start what runs elsewhere by now.
 #[test]
 fn the_first_copy_of_an_order_starts_nothing_after_the_second_was_refused() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let all = fixtures::run_id(1, 0, 1);
     let id = fixtures::run_id(2, 0, 1);
     room.order(
--- a/tests/unit/leased/fixtures.rs
+++ b/tests/unit/leased/fixtures.rs
@@ -3,12 +3,12 @@
 use smol_str::SmolStr;
 
 use bulrushtiller::ids;
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::directives;
 use bulrushtiller::leased::job;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
 use bulrushtiller::leased::queues;
-use bulrushtiller::leased::room;
 use bulrushtiller::wire;
 
 /// A moment well after every clock's beginning.
@@ -147,8 +147,8 @@
 
 /// A runner that takes work at [`START_MS`], with a backend server of 16 cores whose clock
 /// shows 5,000 ms then.
-pub fn ready_room() -> room::Room {
-    let mut room = room::Room::new(RUNNER, 10);
+pub fn ready_manager() -> capacity::CapacityManager {
+    let mut room = capacity::CapacityManager::new(RUNNER, 10);
     room.announced(START_MS, announcement(100, 1));
     room.next_list(START_MS);
     room.listed(START_MS, START_MS, listing(5_000, &[]));
@@ -252,19 +252,19 @@
 }
 
 /// Starts that a runner has to send.
-pub fn started(actions: &[room::Action]) -> Vec<ports::StartCall> {
-    let start = |action: &room::Action| match action {
-        room::Action::Start(call) => Some(call.clone()),
-        room::Action::Stop(_) => None,
+pub fn started(actions: &[capacity::Action]) -> Vec<ports::StartCall> {
+    let start = |action: &capacity::Action| match action {
+        capacity::Action::Start(call) => Some(call.clone()),
+        capacity::Action::Stop(_) => None,
     };
     actions.iter().filter_map(start).collect()
 }
 
 /// Runs that it has to stop.
-pub fn stopped(actions: &[room::Action]) -> Vec<messages::RunId> {
-    let stop = |action: &room::Action| match action {
-        room::Action::Stop(call) => Some(call.id.clone()),
-        room::Action::Start(_) => None,
+pub fn stopped(actions: &[capacity::Action]) -> Vec<messages::RunId> {
+    let stop = |action: &capacity::Action| match action {
+        capacity::Action::Stop(call) => Some(call.id.clone()),
+        capacity::Action::Start(_) => None,
     };
     actions.iter().filter_map(stop).collect()
 }
--- a/tests/unit/leased/play/server.rs
+++ b/tests/unit/leased/play/server.rs
@@ -3,9 +3,9 @@
 use std::collections;
 
 use bulrushtiller::ids;
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 
 use super::site;
 use crate::leased::fixtures;
@@ -21,7 +21,7 @@
 }
 
 pub struct Runner {
-    pub room: room::Room,
+    pub room: capacity::CapacityManager,
     pub watches: collections::HashMap<ids::Incarnation, (u64, u64)>,
     pub running: collections::HashMap<messages::RunId, u64>,
     pub ended: Vec<ports::Ended>,
@@ -52,7 +52,7 @@
         }
     }
 
-    pub fn hear_answers(&mut self, now_ms: u64) -> Vec<room::Action> {
+    pub fn hear_answers(&mut self, now_ms: u64) -> Vec<capacity::Action> {
         let mut actions = Vec::new();
         let started: Vec<_> = self
             .started
@@ -125,7 +125,7 @@
 
 /// A runner that takes work, and its backend server.
 pub fn new(site: &site::Site, at: usize) -> Runner {
-    let mut room = room::Room::new(ids::Incarnation(1_000 + at as u64), 10);
+    let mut room = capacity::CapacityManager::new(ids::Incarnation(1_000 + at as u64), 10);
     let announcement = ports::Announcement {
         zone: site.zone_of(at),
         ..fixtures::announcement(100, 1)
--- a/tests/unit/leased/play/world.rs
+++ b/tests/unit/leased/play/world.rs
@@ -5,11 +5,11 @@
 use std::collections;
 
 use bulrushtiller::ids;
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::dispatch;
 use bulrushtiller::leased::dispatch::runners;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 use rand::Rng as _;
 use rand::SeedableRng as _;
 use rand_chacha::ChaCha8Rng;
@@ -418,12 +418,12 @@
     }
 
     /// Orders to a backend server; one that it leaves unanswered it doesn't carry out either.
-    fn call_backend(&mut self, at: usize, actions: Vec<room::Action>) {
+    fn call_backend(&mut self, at: usize, actions: Vec<capacity::Action>) {
         for action in actions {
             let is_lost = self.is_unanswered();
             let now_ms = self.now_ms;
             match action {
-                room::Action::Start(call) => {
+                capacity::Action::Start(call) => {
                     let id = call.start.id;
                     let answer = if is_lost {
                         (now_ms + call.limit_ms, id, ports::StartAnswer::Lost)
@@ -435,14 +435,14 @@
                     };
                     self.runners[at].started.push(answer);
                 }
-                room::Action::Stop(call) if !is_lost => {
+                capacity::Action::Stop(call) if !is_lost => {
                     let runner = &mut self.runners[at];
                     if runner.running.remove(&call.id).is_some() {
                         runner.end(call.id.clone(), messages::How::Stopped);
                     }
                     runner.stopped.push((now_ms + 1, call.id));
                 }
-                room::Action::Stop(_) => {}
+                capacity::Action::Stop(_) => {}
             }
         }
     }
--- a/tests/unit/leased/spreading.rs
+++ b/tests/unit/leased/spreading.rs
@@ -71,7 +71,7 @@
         let (mut entry, key) = entry();
         entry.directed(held.clone());
         let watch = watch_of(&mut entry, key);
-        let mut room = fixtures::ready_room();
+        let mut room = fixtures::ready_manager();
         room.watch(START_MS, &watch_of_holder(&held));
         room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
         let report = room.report(START_MS, ENTRY);
@@ -89,7 +89,7 @@
 #[test]
 fn a_runner_names_the_entry_that_has_what_another_one_lacks() {
     let held = fixtures::directives(9);
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     room.watch(START_MS, &watch_of_holder(&held));
     room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
 
@@ -104,7 +104,7 @@
 /// Guards against a runner that sends askers to an entry whose configuration is older.
 #[test]
 fn an_entry_that_only_heard_of_a_change_is_not_named() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     room.watch(START_MS, &watch_of_holder(&fixtures::directives(9)));
     let relayed = messages::Watch {
         notice: Some((&fixtures::directives(11)).into()),
@@ -124,7 +124,7 @@
 #[test]
 fn an_entry_that_was_told_is_not_woken_until_it_has_the_configuration() {
     let held = fixtures::directives(9);
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     room.watch(START_MS, &watch_of_holder(&held));
     room.report(START_MS, ENTRY);
     let told = messages::Watch {
--- a/tests/unit/leased/line.rs
+++ b/tests/unit/leased/wait_queue.rs
@@ -1,8 +1,8 @@
 //! Runs that wait at a runner for room.
 
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 use rstest::rstest;
 
 use super::fixtures;
@@ -11,8 +11,8 @@
 use super::fixtures::START_MS;
 
 /// A room that is full with ten runs of another entry.
-fn full_room() -> (room::Room, Vec<messages::RunId>) {
-    let mut room = fixtures::ready_room();
+fn full_room() -> (capacity::CapacityManager, Vec<messages::RunId>) {
+    let mut room = fixtures::ready_manager();
     let runs: Vec<_> = (0..10).map(|at| fixtures::run_id(9, at, 1)).collect();
     let starts: Vec<_> = runs.iter().map(|id| (id.clone(), 1_600)).collect();
     let third = bulrushtiller::ids::Incarnation(3);
@@ -42,7 +42,11 @@
     order
 }
 
-fn end_one(room: &mut room::Room, now_ms: u64, runs: &[messages::RunId]) -> Vec<room::Action> {
+fn end_one(
+    room: &mut capacity::CapacityManager,
+    now_ms: u64,
+    runs: &[messages::RunId],
+) -> Vec<capacity::Action> {
     let (ended, left) = runs.split_first().expect("a run");
     let ports::ListAnswer::Listed(mut listing) = fixtures::listing(5_010, left) else {
         panic!("a list");
--- a/tests/unit/leased/watching.rs
+++ b/tests/unit/leased/watching.rs
@@ -3,12 +3,12 @@
 use std::collections;
 
 use bulrushtiller::ids;
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::dispatch;
 use bulrushtiller::leased::dispatch::runners;
 use bulrushtiller::leased::dispatch::watching;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 use smol_str::SmolStr;
 
 use super::fixtures;
@@ -358,7 +358,7 @@
 /// when it comes back to a runner that has forgotten it.
 #[test]
 fn ends_are_numbered_on_for_an_entry_that_was_forgotten() {
-    let mut room = fixtures::ready_room();
+    let mut room = fixtures::ready_manager();
     let first = fixtures::run_id(1, 0, 1);
     room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
     room.order(
@@ -392,7 +392,7 @@
 }
 
 /// The backend server lists a run's end.
-fn end_of(room: &mut room::Room, now_ms: u64, number: u64, id: messages::RunId) {
+fn end_of(room: &mut capacity::CapacityManager, now_ms: u64, number: u64, id: messages::RunId) {
     room.start_answered(now_ms - 90, &id, ports::StartAnswer::Started);
     room.next_list(now_ms - 50);
     let clock_ms = 5_000 + now_ms - START_MS;
