--- a/src/leased/capacity/expiry.rs
+++ b/src/leased/capacity/expiry.rs
@@ -42,7 +42,8 @@
         run: &capacity::Run,
     ) -> Option<(messages::RunId, &'static str)> {
         if let Some(stop) = run.stop {
-            let is_due = !stop.is_noted && now_ms >= stop.called_ms + capacity::STOP_AGAIN_MS;
+            let is_due =
+                !stop.is_acknowledged && now_ms >= stop.called_ms + capacity::STOP_AGAIN_MS;
             return is_due.then(|| (id.clone(), "not noted yet"));
         }
         let alive_at_ms = self
--- a/src/leased/capacity/listings.rs
+++ b/src/leased/capacity/listings.rs
@@ -30,12 +30,15 @@
         let lease_ms = self.lease_ms(now_ms);
         self.list_wait_ms = self.next_list_wait_ms();
         ports::ListCall {
-            life: self.backend.as_ref().map(|backend| backend.life.clone()),
+            incarnation: self
+                .backend
+                .as_ref()
+                .map(|backend| backend.incarnation.clone()),
             fence: self.fence,
             lease_until_ms: is_renewed.then(|| self.clock.grant(now_ms, lease_ms)),
             acked: self.acked,
             wait_ms: self.list_wait_ms,
-            limit_ms: self.call_timeout.timeout_ms(),
+            timeout_ms: self.call_timeout.timeout_ms(),
         }
     }
 
@@ -44,7 +47,7 @@
             return 0;
         }
         let mut stops = self.runs.values().filter_map(|run| run.stop);
-        if stops.any(|stop| stop.is_noted) {
+        if stops.any(|stop| stop.is_acknowledged) {
             SETTLE_WAIT_MS
         } else if self.runs.is_empty() {
             LIST_WAIT_MS
@@ -68,7 +71,7 @@
                 log::warn!(event = "backend.fenced", fence = self.fence; "a greater fence was there");
                 Vec::new()
             }
-            ports::ListAnswer::OtherLife => {
+            ports::ListAnswer::OtherIncarnation => {
                 self.end_life(now_ms, "another life answered");
                 self.backend = None;
                 Vec::new()
@@ -99,7 +102,9 @@
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
-        if listing.born_ms != backend.life.born_ms || asked_ms < self.listed_asked_ms {
+        if listing.started_at_ms != backend.incarnation.started_at_ms
+            || asked_ms < self.listed_asked_ms
+        {
             return Vec::new();
         }
         self.listed_asked_ms = asked_ms;
@@ -147,9 +152,9 @@
             log::info!(event = "run.stop", run:% = running.id, why = "left by a former life"; "stopping");
             capacity::Action::Stop(ports::StopCall {
                 id: running.id.clone(),
-                life: backend.life.clone(),
+                incarnation: backend.incarnation.clone(),
                 fence: self.fence,
-                limit_ms: self.call_timeout.timeout_ms(),
+                timeout_ms: self.call_timeout.timeout_ms(),
             })
         });
         let calls: Vec<_> = calls.collect();
--- a/src/leased/capacity/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -73,7 +73,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     called_ms: u64,
-    is_noted: bool,
+    is_acknowledged: bool,
 }
 
 /// The state of one runner.
@@ -179,17 +179,17 @@
     /// announced itself; the earlier life must not take the later one's place.
     pub fn announced(&mut self, now_ms: u64, heard: ports::Announcement) -> bool {
         if let Some(known) = &self.backend {
-            let is_older = heard.life.born_ms < known.life.born_ms;
-            let is_same = heard.life == known.life;
+            let is_older = heard.incarnation.started_at_ms < known.incarnation.started_at_ms;
+            let is_same = heard.incarnation == known.incarnation;
             if is_older || (is_same && heard.sequence <= known.sequence) {
-                log::info!(event = "backend.heartbeat_late", born_ms = heard.life.born_ms, sequence = heard.sequence; "passed over");
+                log::info!(event = "backend.heartbeat_late", born_ms = heard.incarnation.started_at_ms, sequence = heard.sequence; "passed over");
                 return false;
             }
             if !is_same {
                 self.end_listed(now_ms);
             }
         } else {
-            log::info!(event = "backend.found", name = heard.life.name.as_str(), born_ms = heard.life.born_ms, cpu_milli = heard.size.cpu_milli; "announced");
+            log::info!(event = "backend.found", name = heard.incarnation.name.as_str(), born_ms = heard.incarnation.started_at_ms, cpu_milli = heard.size.cpu_milli; "announced");
         }
         self.backend = Some(heard);
         self.note_readiness(now_ms);
@@ -205,7 +205,7 @@
         if self.backend.is_some() {
             return;
         }
-        log::info!(event = "backend.recalled", name = known.life.name.as_str(), born_ms = known.life.born_ms, cpu_milli = known.size.cpu_milli; "known from a former life");
+        log::info!(event = "backend.recalled", name = known.incarnation.name.as_str(), born_ms = known.incarnation.started_at_ms, cpu_milli = known.size.cpu_milli; "known from a former life");
         self.backend = Some(ports::Announcement {
             sequence: 0,
             ..known
@@ -217,7 +217,7 @@
         if self
             .backend
             .as_ref()
-            .is_some_and(|known| known.life.name == name)
+            .is_some_and(|known| known.incarnation.name == name)
         {
             self.end_life(now_ms, "it left");
             self.backend = None;
@@ -406,7 +406,7 @@
     }
 
     fn stop(&mut self, now_ms: u64, id: &messages::RunId, why: &'static str) -> Option<Action> {
-        let life = self.backend.as_ref()?.life.clone();
+        let incarnation = self.backend.as_ref()?.incarnation.clone();
         let run = self.runs.get_mut(id)?;
         if run.place.is_some() {
             self.end(now_ms, id, messages::How::NotStarted);
@@ -424,25 +424,25 @@
         }
         run.stop = Some(Stop {
             called_ms: now_ms,
-            is_noted: false,
+            is_acknowledged: false,
         });
         Some(Action::Stop(ports::StopCall {
             id: id.clone(),
-            life,
+            incarnation,
             fence: self.fence,
-            limit_ms: self.call_timeout.timeout_ms(),
+            timeout_ms: self.call_timeout.timeout_ms(),
         }))
     }
 
     /// The backend server noted a stop, or wasn't heard.
-    pub fn stop_answered(&mut self, now_ms: u64, id: &messages::RunId, is_noted: bool) {
+    pub fn stop_answered(&mut self, now_ms: u64, id: &messages::RunId, is_acknowledged: bool) {
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
         if let Some(stop) = &mut run.stop
-            && is_noted
+            && is_acknowledged
         {
-            stop.is_noted = true;
+            stop.is_acknowledged = true;
             self.call_timeout
                 .record_response(now_ms.saturating_sub(stop.called_ms));
             run.settled_ms = Some(run.settled_ms.unwrap_or(now_ms).max(now_ms));
--- a/src/leased/capacity/orders.rs
+++ b/src/leased/capacity/orders.rs
@@ -134,7 +134,7 @@
 
     /// Starts a run that has room now.
     pub(super) fn begin(&mut self, now_ms: u64, id: &messages::RunId) -> Option<capacity::Action> {
-        let life = self.backend.as_ref()?.life.clone();
+        let incarnation = self.backend.as_ref()?.incarnation.clone();
         let run = self.runs.get_mut(id)?;
         let start = run.place.take()?.start;
         let waited_ms = now_ms.saturating_sub(run.ordered_ms);
@@ -146,10 +146,10 @@
         log::info!(event = "run.start", run:% = start.id, owner:% = owner, waited_ms = waited_ms, cpu_milli = start.need.cpu_milli, used_milli = self.used.cpu_milli; "starting");
         Some(capacity::Action::Start(ports::StartCall {
             start,
-            life,
+            incarnation,
             fence: self.fence,
             lease_until_ms,
-            limit_ms: self.call_timeout.timeout_ms(),
+            timeout_ms: self.call_timeout.timeout_ms(),
         }))
     }
 }
--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -292,31 +292,39 @@
     }
 }
 
-impl actix::Handler<ports::Found> for Control {
+impl actix::Handler<ports::RunnersDiscovered> for Control {
     type Result = ();
 
-    fn handle(&mut self, ports::Found(addresses): ports::Found, cx: &mut Self::Context) {
+    fn handle(
+        &mut self,
+        ports::RunnersDiscovered(addresses): ports::RunnersDiscovered,
+        cx: &mut Self::Context,
+    ) {
         let now_ms = self.now_ms();
         let actions = self.dispatcher.found(now_ms, &addresses);
         self.act(cx, actions);
     }
 }
 
-impl actix::Handler<ports::Listed> for Control {
+impl actix::Handler<ports::RunnersListed> for Control {
     type Result = ();
 
-    fn handle(&mut self, ports::Listed(members): ports::Listed, cx: &mut Self::Context) {
+    fn handle(
+        &mut self,
+        ports::RunnersListed(members): ports::RunnersListed,
+        cx: &mut Self::Context,
+    ) {
         let now_ms = self.now_ms();
         let actions = self.dispatcher.listed(now_ms, &members);
         self.act(cx, actions);
     }
 }
 
-impl actix::Handler<ports::Directed> for Control {
+impl actix::Handler<ports::DirectivesReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, heard: ports::Directed, _cx: &mut Self::Context) {
-        let ports::Directed { directives, from } = heard;
+    fn handle(&mut self, heard: ports::DirectivesReceived, _cx: &mut Self::Context) {
+        let ports::DirectivesReceived { directives, from } = heard;
         let (position, version) = (directives.position, directives.version);
         let is_news = self.dispatcher.directed(directives);
         log::info!(event = "directives.heard", from = from.as_str(), position = position, version = version, news = is_news; "heard");
--- a/src/leased/entry/learning.rs
+++ b/src/leased/entry/learning.rs
@@ -31,10 +31,10 @@
         }
     };
     log::info!(event = "entry.learned", from = from.as_str(), runners = known.runners.len(), has_directives = known.directives.is_some(); "from another entry");
-    control.do_send(ports::Found(known.runners));
+    control.do_send(ports::RunnersDiscovered(known.runners));
     if let Some(directives) = known.directives {
         let directives = sync::Arc::unwrap_or_clone(directives);
-        control.do_send(ports::Directed { directives, from });
+        control.do_send(ports::DirectivesReceived { directives, from });
     }
 }
 
--- a/src/leased/ports.rs
+++ b/src/leased/ports.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announcement {
     /// Which life it is.
-    pub life: Life,
+    pub incarnation: BackendIncarnation,
     /// Counts the heartbeats of this life.
     pub sequence: u64,
     /// Whether it is stopping.
@@ -30,11 +30,11 @@
 
 /// Tells the lives of a backend server apart.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
-pub struct Life {
+pub struct BackendIncarnation {
     /// Its name, which a later life may have again.
     pub name: SmolStr,
     /// When it started, in milliseconds since 1970 by its own clock.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
 }
 
 /// A run to be started at the backend server.
@@ -43,13 +43,13 @@
     /// The run and what to tell the backend server.
     pub start: messages::Start,
     /// The life that is meant.
-    pub life: Life,
+    pub incarnation: BackendIncarnation,
     /// Keeps orders of former lives of the runner out.
     pub fence: u64,
     /// End of the lease, and of the order itself, on the backend server's clock.
     pub lease_until_ms: u64,
     /// How long the answer is waited for, in milliseconds.
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// What a backend server said to a start.
@@ -58,14 +58,14 @@
     /// It runs.
     Started,
     /// It does not run, and this order won't start it.
-    Refused(RefusedBy),
+    Refused(StartRefusal),
     /// Nothing was heard: it may run now or later.
     Lost,
 }
 
 /// Why a backend server refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum RefusedBy {
+pub enum StartRefusal {
     /// A later life of the runner has given orders.
     Fence,
     /// The same run, or a later one of the task, was there before.
@@ -86,18 +86,18 @@
     /// The run.
     pub id: messages::RunId,
     /// The life that is meant.
-    pub life: Life,
+    pub incarnation: BackendIncarnation,
     /// Keeps orders of former lives of the runner out.
     pub fence: u64,
     /// How long the answer is waited for, in milliseconds.
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// A question what runs at the backend server, which renews the lease.
 #[derive(Clone, Debug)]
 pub struct ListCall {
     /// The life that is meant; unknown as long as none was heard of.
-    pub life: Option<Life>,
+    pub incarnation: Option<BackendIncarnation>,
     /// Keeps orders of former lives of the runner out.
     pub fence: u64,
     /// New end of the lease on the backend server's clock; absent: not renewed.
@@ -107,14 +107,14 @@
     /// Longest wait for a new end, in milliseconds.
     pub wait_ms: u64,
     /// How long the answer is waited for beyond that, in milliseconds.
-    pub limit_ms: u64,
+    pub timeout_ms: u64,
 }
 
 /// What runs at a backend server, and what ended.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
     /// Which life says so: when it started.
-    pub born_ms: u64,
+    pub started_at_ms: u64,
     /// The backend server's clock.
     pub clock_ms: u64,
     /// What runs.
@@ -151,7 +151,7 @@
     /// A later life of the runner has given orders, or one whose fence is greater.
     Fenced,
     /// Another life than the one meant.
-    OtherLife,
+    OtherIncarnation,
     /// No connection could be made.
     NoConnection,
     /// Nothing was heard.
@@ -167,7 +167,7 @@
     fn stop(&self, call: StopCall, done: actix::Recipient<StopAnswered>);
 
     /// Keeps asking what runs; each answer goes to `done`, which returns the next question.
-    fn keep_listing(&self, done: actix::Recipient<ListAnswered>);
+    fn poll_listings(&self, done: actix::Recipient<ListAnswered>);
 }
 
 /// A start was answered.
@@ -189,7 +189,7 @@
     /// The run.
     pub id: messages::RunId,
     /// Whether the backend server has noted it.
-    pub is_noted: bool,
+    pub is_acknowledged: bool,
 }
 
 /// The question what runs was answered; the result is the next question.
@@ -198,7 +198,7 @@
 #[rtype(result = "ListCall")]
 pub struct ListAnswered {
     /// When the question was sent, on the runner's clock; 0: none was sent yet.
-    pub asked_ms: u64,
+    pub sent_at_ms: u64,
     /// The answer; absent: none was sent yet.
     pub answer: Option<ListAnswer>,
 }
@@ -213,7 +213,7 @@
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Recalled(pub Announcement);
+pub struct BackendRestored(pub Announcement);
 
 /// A backend server is gone for good.
 #[derive(Clone, Debug)]
@@ -236,19 +236,19 @@
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Listed(pub Vec<Member>);
+pub struct RunnersListed(pub Vec<Member>);
 
 /// Addresses of runners that another entry knows.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Found(pub Vec<SmolStr>);
+pub struct RunnersDiscovered(pub Vec<SmolStr>);
 
 /// What operators have asked for, as the store or another process tells.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Directed {
+pub struct DirectivesReceived {
     /// The directives.
     pub directives: directives::Directives,
     /// Who told: the store, or another process by its address.
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -120,7 +120,7 @@
     type Context = actix::Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
-        self.backend.keep_listing(cx.address().recipient());
+        self.backend.poll_listings(cx.address().recipient());
         cx.run_interval(TICK, |actor, cx| {
             let now_ms = actor.clock.now_ms();
             let actions = actor.room.tick(now_ms);
@@ -187,7 +187,7 @@
 
     fn handle(&mut self, heard: ports::StopAnswered, _cx: &mut Self::Context) {
         self.room
-            .stop_answered(self.clock.now_ms(), &heard.id, heard.is_noted);
+            .stop_answered(self.clock.now_ms(), &heard.id, heard.is_acknowledged);
     }
 }
 
@@ -197,7 +197,7 @@
     fn handle(&mut self, heard: ports::ListAnswered, cx: &mut Self::Context) -> Self::Result {
         if let Some(answer) = heard.answer {
             let now_ms = self.clock.now_ms();
-            let actions = self.room.listed(now_ms, heard.asked_ms, answer);
+            let actions = self.room.listed(now_ms, heard.sent_at_ms, answer);
             self.act(cx, actions);
         }
         actix::MessageResult(self.room.next_list(self.clock.now_ms()))
@@ -214,10 +214,14 @@
     }
 }
 
-impl actix::Handler<ports::Recalled> for Control {
+impl actix::Handler<ports::BackendRestored> for Control {
     type Result = ();
 
-    fn handle(&mut self, ports::Recalled(known): ports::Recalled, _cx: &mut Self::Context) {
+    fn handle(
+        &mut self,
+        ports::BackendRestored(known): ports::BackendRestored,
+        _cx: &mut Self::Context,
+    ) {
         self.room.recall(known);
     }
 }
--- a/tests/unit/leased/call_timeout.rs
+++ b/tests/unit/leased/call_timeout.rs
@@ -74,7 +74,7 @@
     let (mut room, id) = busy_room();
 
     let first = room.next_list(START_MS + 5);
-    let missed_ms = START_MS + 5 + first.wait_ms + first.limit_ms;
+    let missed_ms = START_MS + 5 + first.wait_ms + first.timeout_ms;
     room.listed(missed_ms, START_MS + 5, ports::ListAnswer::Lost);
     let again = room.next_list(missed_ms);
     let ended = fixtures::listing_with_end(5_010, 1, id, messages::How::Done);
@@ -85,7 +85,7 @@
         "{} ms in vain",
         missed_ms - START_MS - 5
     );
-    assert!(again.limit_ms > first.limit_ms);
+    assert!(again.timeout_ms > first.timeout_ms);
     assert_eq!(room.runs(), 0);
 }
 
--- a/tests/unit/leased/capacity.rs
+++ b/tests/unit/leased/capacity.rs
@@ -223,7 +223,7 @@
     let ports::ListAnswer::Listed(mut listing) = fixtures::listing(60, &[]) else {
         panic!("a list");
     };
-    listing.born_ms = 900;
+    listing.started_at_ms = 900;
     room.listed(
         START_MS + 60,
         START_MS + 55,
--- a/tests/unit/leased/fixtures.rs
+++ b/tests/unit/leased/fixtures.rs
@@ -101,11 +101,11 @@
     }
 }
 
-pub fn announcement(born_ms: u64, sequence: u64) -> ports::Announcement {
+pub fn announcement(started_at_ms: u64, sequence: u64) -> ports::Announcement {
     ports::Announcement {
-        life: ports::Life {
+        incarnation: ports::BackendIncarnation {
             name: SmolStr::new("backend-1"),
-            born_ms,
+            started_at_ms,
         },
         sequence,
         is_leaving: false,
@@ -118,7 +118,7 @@
 
 pub fn listing(clock_ms: u64, running: &[messages::RunId]) -> ports::ListAnswer {
     ports::ListAnswer::Listed(ports::Listing {
-        born_ms: 100,
+        started_at_ms: 100,
         clock_ms,
         running: running
             .iter()
@@ -138,7 +138,7 @@
     how: messages::How,
 ) -> ports::ListAnswer {
     ports::ListAnswer::Listed(ports::Listing {
-        born_ms: 100,
+        started_at_ms: 100,
         clock_ms,
         running: Vec::new(),
         ended: vec![ports::Ended { number, id, how }],
--- a/tests/unit/leased/play/server.rs
+++ b/tests/unit/leased/play/server.rs
@@ -104,7 +104,7 @@
         self.listing = Listing {
             asked_ms: now_ms,
             until_ms: until_ms.max(now_ms + 1),
-            lost_ms: until_ms + call.limit_ms,
+            lost_ms: until_ms + call.timeout_ms,
             is_lost,
         };
     }
--- a/tests/unit/leased/play/world.rs
+++ b/tests/unit/leased/play/world.rs
@@ -426,7 +426,7 @@
                 capacity::Action::Start(call) => {
                     let id = call.start.id;
                     let answer = if is_lost {
-                        (now_ms + call.limit_ms, id, ports::StartAnswer::Lost)
+                        (now_ms + call.timeout_ms, id, ports::StartAnswer::Lost)
                     } else {
                         let run_ms = self.run_ms[&id.job];
                         let runner = &mut self.runners[at];
