--- a/src/leased/capacity/listings.rs
+++ b/src/leased/capacity/listings.rs
@@ -136,7 +136,7 @@
         let missing = self.runs.iter().filter(is_missing);
         let missing: Vec<_> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
-            self.end(now_ms, &id, messages::How::Stopped);
+            self.end(now_ms, &id, messages::RunOutcome::Stopped);
         }
     }
 
--- a/src/leased/capacity/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -86,8 +86,8 @@
     owners: collections::HashMap<ids::Incarnation, owners::Owner>,
     runs: collections::HashMap<messages::RunId, Run>,
     used: wire::Resources,
-    line: messages::Line,
-    latest: directives::Latest,
+    line: messages::WaitQueue,
+    latest: directives::LatestNotice,
     /// The entry that last showed that it has the latest configuration whole.
     holder: Option<SmolStr>,
     acked: u64,
@@ -113,8 +113,8 @@
             owners: collections::HashMap::new(),
             runs: collections::HashMap::new(),
             used: wire::Resources::default(),
-            line: messages::Line::default(),
-            latest: directives::Latest::default(),
+            line: messages::WaitQueue::default(),
+            latest: directives::LatestNotice::default(),
             holder: None,
             acked: 0,
             listed_asked_ms: 0,
@@ -252,7 +252,7 @@
         log::warn!(event = "backend.life_over", runs = self.runs.len(), why = why; "its runs are over");
         let ids: Vec<_> = self.runs.keys().cloned().collect();
         for id in ids {
-            self.end(now_ms, &id, messages::How::Stopped);
+            self.end(now_ms, &id, messages::RunOutcome::Stopped);
         }
         self.clock = backend_clock::BackendClock::default();
         self.acked = 0;
@@ -269,7 +269,7 @@
         let is_news = watch
             .notice
             .as_ref()
-            .is_some_and(|notice| self.latest.hear(notice));
+            .is_some_and(|notice| self.latest.update(notice));
         let version = self.latest.get().version;
         if version > 0 && watch.configuration == version && watch.address.is_some() {
             self.holder.clone_from(&watch.address);
@@ -335,7 +335,7 @@
             waiting,
             ends: owner.ends(),
             directives_position: self.latest.get().position,
-            notice: self.latest.news_since(owner.directives_position),
+            notice: self.latest.notice_since(owner.directives_position),
             holder,
         }
     }
@@ -396,7 +396,7 @@
             ports::StartAnswer::Started => run.settled_ms = Some(now_ms),
             ports::StartAnswer::Refused(why) => {
                 log::warn!(event = "run.refused", run:% = id, why:? = why; "not started");
-                self.end(now_ms, id, messages::How::NotStarted);
+                self.end(now_ms, id, messages::RunOutcome::NotStarted);
             }
             // It may start any time until its lease is over; a stop that is noted keeps
             // it from starting.
@@ -409,7 +409,7 @@
         let incarnation = self.backend.as_ref()?.incarnation.clone();
         let run = self.runs.get_mut(id)?;
         if run.place.is_some() {
-            self.end(now_ms, id, messages::How::NotStarted);
+            self.end(now_ms, id, messages::RunOutcome::NotStarted);
             return None;
         }
         if run
@@ -449,13 +449,13 @@
         }
     }
 
-    fn end(&mut self, now_ms: u64, id: &messages::RunId, how: messages::How) {
+    fn end(&mut self, now_ms: u64, id: &messages::RunId, how: messages::RunOutcome) {
         let Some(run) = self.runs.remove(id) else {
             return;
         };
         let how = if let Some(place) = &run.place {
-            self.line.leave(place.class(), run.need.cpu_milli);
-            messages::How::NotStarted
+            self.line.subtract(place.class(), run.need.cpu_milli);
+            messages::RunOutcome::NotStarted
         } else {
             self.used = self.used.minus(&run.need);
             how
--- a/src/leased/capacity/orders.rs
+++ b/src/leased/capacity/orders.rs
@@ -89,7 +89,7 @@
             return Some(messages::Refusal::NotReady);
         }
         let backend = self.backend.as_ref()?;
-        if self.latest.is_out(&backend.zone) {
+        if self.latest.is_zone_out(&backend.zone) {
             return Some(messages::Refusal::ZoneOut);
         }
         // A task has one run at a time, also while the caller's repeat came by another entry.
@@ -111,7 +111,7 @@
     ) -> Option<capacity::Action> {
         let size = self.backend.as_ref()?.size;
         let (id, need) = (start.id.clone(), start.need);
-        self.line.join(start.wait.class, need.cpu_milli);
+        self.line.add(start.wait.class, need.cpu_milli);
         let run = capacity::Run {
             owner,
             order,
@@ -140,7 +140,7 @@
         let waited_ms = now_ms.saturating_sub(run.ordered_ms);
         run.ordered_ms = now_ms;
         let owner = run.owner;
-        self.line.leave(start.wait.class, start.need.cpu_milli);
+        self.line.subtract(start.wait.class, start.need.cpu_milli);
         self.used = self.used.plus(&start.need);
         let lease_until_ms = self.clock.grant(now_ms, self.lease_ms(now_ms));
         log::info!(event = "run.start", run:% = start.id, owner:% = owner, waited_ms = waited_ms, cpu_milli = start.need.cpu_milli, used_milli = self.used.cpu_milli; "starting");
--- a/src/leased/capacity/owners.rs
+++ b/src/leased/capacity/owners.rs
@@ -85,7 +85,7 @@
     }
 
     /// Notes the end of a run, to be told.
-    pub fn push_end(&mut self, id: messages::RunId, how: messages::How, ran_ms: u64) {
+    pub fn push_end(&mut self, id: messages::RunId, how: messages::RunOutcome, ran_ms: u64) {
         self.last_end += 1;
         self.ends.push_back(messages::End {
             number: self.last_end,
--- a/src/leased/capacity/wait_queue.rs
+++ b/src/leased/capacity/wait_queue.rs
@@ -78,7 +78,7 @@
                 return;
             };
             log::info!(event = "run.displaced", run:% = id, line_milli = self.line.total_milli(), size_milli = size.cpu_milli; "its place goes to a more urgent run");
-            self.end(now_ms, &id, messages::How::NotStarted);
+            self.end(now_ms, &id, messages::RunOutcome::NotStarted);
         }
     }
 
@@ -101,7 +101,7 @@
         };
         let size = backend.size;
         let is_open = self.readiness(now_ms) == messages::Readiness::Ready
-            && !self.latest.is_out(&backend.zone);
+            && !self.latest.is_zone_out(&backend.zone);
         let mut line: Vec<_> = self
             .runs
             .iter()
@@ -112,7 +112,7 @@
         let mut actions = Vec::new();
         for (_, until_ms, need, id) in line {
             if !is_open || now_ms > until_ms {
-                self.end(now_ms, &id, messages::How::NotStarted);
+                self.end(now_ms, &id, messages::RunOutcome::NotStarted);
             } else if need.fits_in(&size.minus(&self.used)) {
                 actions.extend(self.begin(now_ms, &id));
             }
--- a/src/leased/directives.rs
+++ b/src/leased/directives.rs
@@ -63,16 +63,16 @@
 
 /// The latest that a process was told.
 #[derive(Clone, Debug, Default)]
-pub struct Latest(Notice);
+pub struct LatestNotice(Notice);
 
-impl Latest {
+impl LatestNotice {
     /// What was told.
     pub const fn get(&self) -> &Notice {
         &self.0
     }
 
     /// Whether operators have taken the availability zone out.
-    pub fn is_out(&self, zone: &str) -> bool {
+    pub fn is_zone_out(&self, zone: &str) -> bool {
         self.0.zones_out.iter().any(|out| out == zone)
     }
 
@@ -80,7 +80,7 @@
     ///
     /// Copies arrive by several ways, in any order, some from a process that was cut off
     /// for long. Taking an older one would start tasks in an availability zone that is out.
-    pub fn hear(&mut self, heard: &Notice) -> bool {
+    pub fn update(&mut self, heard: &Notice) -> bool {
         if heard.position <= self.0.position {
             return false;
         }
@@ -94,7 +94,7 @@
     }
 
     /// The notice for a process that was told only up to `position`.
-    pub fn news_since(&self, position: u64) -> Option<Notice> {
+    pub fn notice_since(&self, position: u64) -> Option<Notice> {
         (self.0.position > position).then(|| self.0.clone())
     }
 }
@@ -102,7 +102,7 @@
 /// The directives in force at an entry.
 #[derive(Clone, Debug, Default)]
 pub struct InForce {
-    latest: Latest,
+    latest: LatestNotice,
     current: sync::Arc<Directives>,
 }
 
@@ -113,25 +113,25 @@
     }
 
     /// The latest that was told.
-    pub const fn latest(&self) -> &Latest {
+    pub const fn latest(&self) -> &LatestNotice {
         &self.latest
     }
 
     /// Whether a later configuration was told of than the one that is here.
-    pub fn is_lacking(&self) -> bool {
+    pub fn is_outdated(&self) -> bool {
         self.latest.get().version > self.current.version
     }
 
     /// Takes a later notice; whether it was later.
-    pub fn hear(&mut self, heard: &Notice) -> bool {
-        self.latest.hear(heard)
+    pub fn update_notice(&mut self, heard: &Notice) -> bool {
+        self.latest.update(heard)
     }
 
     /// Takes later directives; whether they were later.
     ///
     /// An older configuration would route by a removed queue.
     pub fn advance(&mut self, heard: Directives) -> bool {
-        self.latest.hear(&Notice::from(&heard));
+        self.latest.update(&Notice::from(&heard));
         let held = &self.current;
         if heard.position <= held.position || heard.version < held.version {
             return false;
--- a/src/leased/dispatch/filling.rs
+++ b/src/leased/dispatch/filling.rs
@@ -85,7 +85,9 @@
         let directives = self.directives.latest();
         let may_take = |runner: &runners::Runner| {
             let load = &runner.load;
-            runner.is_usable(now_ms) && load.service == service && !directives.is_out(&load.zone)
+            runner.is_usable(now_ms)
+                && load.service == service
+                && !directives.is_zone_out(&load.zone)
         };
         let usable = self
             .watched_runners()
@@ -144,7 +146,7 @@
                     wait: if target.waits {
                         wait
                     } else {
-                        wait.not_at_all()
+                        wait.without_waiting()
                     },
                 },
                 waits: target.waits,
--- a/src/leased/dispatch/judging.rs
+++ b/src/leased/dispatch/judging.rs
@@ -33,9 +33,9 @@
         over: &runners::Over,
     ) -> Vec<dispatch::Action> {
         let code = match over.how {
-            messages::How::Done => codes::Code::Complete,
-            messages::How::Failed => codes::Code::TaskFailed,
-            messages::How::Stopped | messages::How::NotStarted => return Vec::new(),
+            messages::RunOutcome::Done => codes::Code::Complete,
+            messages::RunOutcome::Failed => codes::Code::TaskFailed,
+            messages::RunOutcome::Stopped | messages::RunOutcome::NotStarted => return Vec::new(),
         };
         let end = end_of(&over.placed, over.ran_ms, code);
         if self.health.ended(now_ms, key, &end, &self.policy) {
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -234,7 +234,7 @@
     }
 
     fn catch_up(&mut self, now_ms: u64) -> Option<Action> {
-        let is_lacking = self.directives.is_lacking();
+        let is_lacking = self.directives.is_outdated();
         let has_any = self.directives.get().is_configured();
         let holder = self.catching_up.next(now_ms, is_lacking, has_any)?;
         log::info!(event = "directives.fetch", from = holder.as_str(), version = self.directives.latest().get().version, held = self.directives.get().version; "the store hasn't told; asking");
@@ -360,7 +360,7 @@
         let latest = self.directives.latest();
         watch.directives_position = latest.get().position;
         watch.configuration = self.directives.get().version;
-        watch.notice = latest.news_since(runner.directives_position);
+        watch.notice = latest.notice_since(runner.directives_position);
         Some((runner.address().clone(), watch))
     }
 
@@ -385,7 +385,7 @@
         }
         self.note_whereabouts(key);
         if let Some(notice) = notice {
-            self.directives.hear(&notice);
+            self.directives.update_notice(&notice);
         }
         if let Some(holder) = holder {
             self.catching_up.name(holder);
--- a/src/leased/dispatch/placing.rs
+++ b/src/leased/dispatch/placing.rs
@@ -37,7 +37,7 @@
     /// Thousandths of a core that it has in all.
     pub size_milli: u32,
     /// Thousandths of a core that may still wait there for room, in each class of urgency.
-    pub line_milli: [u32; messages::CLASSES],
+    pub line_milli: [u32; messages::URGENCY_CLASSES],
     /// Thousandths of a core that were put into the line since.
     pub line_taken_milli: u32,
     /// Whether any other is to be preferred, by how the tasks there fare.
@@ -188,7 +188,7 @@
     }
 
     fn has_line_for(&self, ask: &Ask<'_>) -> bool {
-        let class = usize::from(ask.class).min(messages::CLASSES - 1);
+        let class = usize::from(ask.class).min(messages::URGENCY_CLASSES - 1);
         self.line_milli[class] >= self.line_taken_milli.saturating_add(ask.need.cpu_milli)
     }
 }
--- a/src/leased/dispatch/runners.rs
+++ b/src/leased/dispatch/runners.rs
@@ -96,7 +96,7 @@
     /// Where it belongs.
     pub placed: Placed,
     /// How it ended.
-    pub how: messages::How,
+    pub how: messages::RunOutcome,
     /// How long it ran, in milliseconds.
     pub ran_ms: u64,
 }
@@ -224,7 +224,7 @@
 
     /// Thousandths of a core that may still wait there in each class, with this entry's orders
     /// that the runner's last word didn't contain.
-    pub fn line_milli(&self) -> [u32; messages::CLASSES] {
+    pub fn line_milli(&self) -> [u32; messages::URGENCY_CLASSES] {
         let on_the_way = self
             .placed
             .values()
@@ -232,7 +232,7 @@
         let on_the_way: u32 = on_the_way.map(|placed| placed.need.cpu_milli).sum();
         let most = self.load.size.cpu_milli / wait_queue::WAIT_QUEUE_CPU_DIVISOR;
         [0, 1, 2, 3, 4].map(|class| {
-            most.saturating_sub(self.load.line.up_to(class))
+            most.saturating_sub(self.load.line.milli_up_to(class))
                 .saturating_sub(on_the_way)
         })
     }
@@ -359,7 +359,7 @@
         }
         let refused = reply.refused.into_iter();
         refused
-            .filter_map(|(id, _)| self.over(&id, messages::How::NotStarted, 0))
+            .filter_map(|(id, _)| self.over(&id, messages::RunOutcome::NotStarted, 0))
             .collect()
     }
 
@@ -367,7 +367,7 @@
     pub fn unsent(&mut self, order: &messages::Order) -> Vec<Over> {
         let starts = order.starts.iter();
         starts
-            .filter_map(|start| self.over(&start.id, messages::How::NotStarted, 0))
+            .filter_map(|start| self.over(&start.id, messages::RunOutcome::NotStarted, 0))
             .collect()
     }
 
@@ -431,7 +431,7 @@
         }
         let over = lost
             .iter()
-            .filter_map(|id| self.over(id, messages::How::Stopped, 0));
+            .filter_map(|id| self.over(id, messages::RunOutcome::Stopped, 0));
         over.collect()
     }
 
@@ -442,11 +442,16 @@
         }
         let ids: Vec<_> = self.placed.keys().cloned().collect();
         ids.iter()
-            .filter_map(|id| self.over(id, messages::How::Stopped, 0))
+            .filter_map(|id| self.over(id, messages::RunOutcome::Stopped, 0))
             .collect()
     }
 
-    fn over(&mut self, id: &messages::RunId, how: messages::How, ran_ms: u64) -> Option<Over> {
+    fn over(
+        &mut self,
+        id: &messages::RunId,
+        how: messages::RunOutcome,
+        ran_ms: u64,
+    ) -> Option<Over> {
         let placed = self.placed.remove(id)?;
         Some(Over {
             id: id.clone(),
--- a/src/leased/dispatch/runs_over.rs
+++ b/src/leased/dispatch/runs_over.rs
@@ -26,12 +26,12 @@
             return Vec::new();
         };
         let at = over.placed.task;
-        open.has_begun |= over.how != messages::How::NotStarted;
+        open.has_begun |= over.how != messages::RunOutcome::NotStarted;
         if open.run_id(at) != over.id || !matches!(open.tasks[at].state, jobs::State::At(_)) {
             return Vec::new();
         }
         let key = over.placed.job;
-        if over.how == messages::How::Done {
+        if over.how == messages::RunOutcome::Done {
             open.tasks[at].state = jobs::State::Done;
             open.left[usize::from(open.tasks[at].step)] -= 1;
             if open.is_complete() {
@@ -42,7 +42,7 @@
         }
         open.tasks[at].state = jobs::State::Waiting;
         match over.how {
-            messages::How::Failed => {
+            messages::RunOutcome::Failed => {
                 open.tasks[at].failed += 1;
                 log::info!(event = "task.failed", job = open.job.id.as_str(), run:% = over.id, failed = open.tasks[at].failed, most = open.max_attempts, ran_ms = over.ran_ms; "failed");
                 if open.tasks[at].failed >= open.max_attempts {
@@ -55,7 +55,7 @@
                     );
                 }
             }
-            messages::How::NotStarted => self.counts.not_started += 1,
+            messages::RunOutcome::NotStarted => self.counts.not_started += 1,
             _ => {
                 log::info!(event = "task.lost", job = open.job.id.as_str(), run:% = over.id, age_ms = now_ms - over.placed.ordered_ms; "run is over without a result");
                 self.counts.lost += 1;
--- a/src/leased/dispatch/watching.rs
+++ b/src/leased/dispatch/watching.rs
@@ -310,7 +310,7 @@
         let counts = |key| {
             let runner: &runners::Runner = &runners[key];
             let may_take = runner.watch.is_new(now_ms) || runner.is_usable(now_ms);
-            may_take && !directives.is_out(&runner.member.zone)
+            may_take && !directives.is_zone_out(&runner.member.zone)
         };
         let mut closed = Vec::new();
         for group in self.watches.groups.values_mut() {
@@ -397,7 +397,7 @@
         let (runners, directives) = (&self.runners, self.directives.latest());
         let may_ask = |key| {
             let runner: &runners::Runner = &runners[key];
-            runner.watch.may_open(now_ms) && !directives.is_out(&runner.member.zone)
+            runner.watch.may_open(now_ms) && !directives.is_zone_out(&runner.member.zone)
         };
         let Some(group) = self.watches.groups.get_mut(service) else {
             return Vec::new();
--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -1,7 +1,7 @@
 //! The control thread of an entry that dispatches runs under leases.
 
 mod calls;
-pub mod learning;
+pub mod peer_state;
 
 use std::collections;
 use std::sync;
@@ -32,7 +32,7 @@
 const LINGER_MS: u64 = 2_500;
 
 /// What is in force, for the threads that serve callers.
-pub type Queues = sync::Arc<sync::RwLock<View>>;
+pub type SharedView = sync::Arc<sync::RwLock<View>>;
 
 /// What the threads that serve callers have to know without asking.
 #[derive(Clone, Debug, Default)]
@@ -40,7 +40,7 @@
     /// The queues; absent: no configuration was heard yet.
     pub queues: Option<sync::Arc<queues::Queues>>,
     /// Whether there is a later configuration, which is not here yet.
-    pub is_lacking: bool,
+    pub is_outdated: bool,
     /// Whether the balancer should send new callers.
     pub is_ready: bool,
 }
@@ -52,7 +52,7 @@
             (None, None) => true,
             _ => false,
         };
-        are_same && self.is_lacking == other.is_lacking && self.is_ready == other.is_ready
+        are_same && self.is_outdated == other.is_outdated && self.is_ready == other.is_ready
     }
 }
 
@@ -70,7 +70,7 @@
     /// The threads that make calls.
     pub pool: sync::Arc<outgoing::Pool>,
     /// For the threads that serve callers.
-    pub view: Queues,
+    pub view: SharedView,
     /// What conversations cost.
     pub traffic: sync::Arc<traffic::Traffic>,
     /// Longest time for a graceful stop.
@@ -148,7 +148,7 @@
         let is_configured = directives.get().is_configured();
         View {
             queues: is_configured.then(|| sync::Arc::clone(self.dispatcher.queues())),
-            is_lacking: directives.is_lacking(),
+            is_outdated: directives.is_outdated(),
             is_ready: is_configured && self.leaving_ms.is_none(),
         }
     }
@@ -228,17 +228,17 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Gone {
+pub struct CallerGone {
     /// The job.
     pub id: SmolStr,
     /// The number of the wait.
     pub waiter: jobs::Waiter,
 }
 
-impl actix::Handler<Gone> for Control {
+impl actix::Handler<CallerGone> for Control {
     type Result = ();
 
-    fn handle(&mut self, gone: Gone, cx: &mut Self::Context) {
+    fn handle(&mut self, gone: CallerGone, cx: &mut Self::Context) {
         self.answers.remove(&gone.waiter);
         let now_ms = self.now_ms();
         let actions = self.dispatcher.gone(now_ms, &gone.id, gone.waiter);
@@ -386,7 +386,7 @@
         let counts = self.dispatcher.counts();
         let counter = metrics::Sample::counter;
         let gauge = metrics::Sample::gauge;
-        let mut samples = self.parts.traffic.of_entry();
+        let mut samples = self.parts.traffic.entry_samples();
         samples.extend([
             counter("jobs_accepted", "Jobs taken in", counts.accepted),
             counter("jobs_completed", "Jobs completed", counts.completed),
--- a/src/leased/entry/calls.rs
+++ b/src/leased/entry/calls.rs
@@ -105,7 +105,7 @@
             }
             Err(e) => {
                 failures += 1;
-                traffic.watches.lose();
+                traffic.watches.add_lost();
                 if failures == 1 {
                     log::warn!(event = "watch.lost", runner = address.as_str(), limit_ms = limit.as_millis(), bytes = bytes; "{e}");
                 }
--- a/src/leased/entry/learning.rs
+++ b/src/leased/entry/peer_state.rs
@@ -20,7 +20,7 @@
 };
 
 /// Asks another entry for what it knows, and hands that to the control thread.
-pub async fn learn(from: SmolStr, control: &actix::Addr<entry::Control>) {
+pub async fn fetch_from_peer(from: SmolStr, control: &actix::Addr<entry::Control>) {
     let path = messages::KNOWN_PATH;
     let asked: Result<messages::Known, _> = outgoing::fetch(&from, path, LIMITS).await;
     let known = match asked {
@@ -42,7 +42,7 @@
     pub(super) fn learn(&self, cx: &actix::Context<Self>, from: SmolStr) {
         let control = cx.address();
         self.parts.pool.run(move |_client| async move {
-            learn(from, &control).await;
+            fetch_from_peer(from, &control).await;
             control.do_send(Learned);
         });
     }
--- a/src/leased/messages.rs
+++ b/src/leased/messages.rs
@@ -79,7 +79,7 @@
     /// What is taken, by whichever entry.
     pub used: wire::Resources,
     /// What waits there for room, by whichever entry.
-    pub line: Line,
+    pub line: WaitQueue,
     /// Service of the backend server.
     pub service: SmolStr,
     /// Availability zone of the backend server.
@@ -89,31 +89,31 @@
 }
 
 /// Classes of urgency of what waits; see [`crate::leased::dispatch::urgency`].
-pub const CLASSES: usize = 5;
+pub const URGENCY_CLASSES: usize = 5;
 
 /// What waits at a runner for room, by class of urgency.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Line {
+pub struct WaitQueue {
     /// Thousandths of a core of each class, the most urgent first.
-    milli: [u32; CLASSES],
+    milli: [u32; URGENCY_CLASSES],
 }
 
-impl Line {
+impl WaitQueue {
     /// A run joins.
-    pub fn join(&mut self, class: u8, milli: u32) {
-        self.milli[Self::place(class)] += milli;
+    pub fn add(&mut self, class: u8, milli: u32) {
+        self.milli[Self::slot(class)] += milli;
     }
 
     /// A run leaves.
-    pub fn leave(&mut self, class: u8, milli: u32) {
-        let held = &mut self.milli[Self::place(class)];
+    pub fn subtract(&mut self, class: u8, milli: u32) {
+        let held = &mut self.milli[Self::slot(class)];
         *held = held.saturating_sub(milli);
     }
 
     /// Thousandths of a core that wait in this class and in those before it.
-    pub fn up_to(&self, class: u8) -> u32 {
-        self.milli[..=Self::place(class)].iter().sum()
+    pub fn milli_up_to(&self, class: u8) -> u32 {
+        self.milli[..=Self::slot(class)].iter().sum()
     }
 
     /// Thousandths of a core that wait in all.
@@ -122,15 +122,15 @@
     }
 
     /// Another process names the class; one that isn't known goes last.
-    fn place(class: u8) -> usize {
-        usize::from(class).min(CLASSES - 1)
+    fn slot(class: u8) -> usize {
+        usize::from(class).min(URGENCY_CLASSES - 1)
     }
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub enum How {
+pub enum RunOutcome {
     /// It did its work.
     Done,
     /// It failed.
@@ -150,7 +150,7 @@
     /// The run.
     pub id: RunId,
     /// How it ended.
-    pub how: How,
+    pub how: RunOutcome,
     /// How long it ran, in milliseconds; 0 if it never started.
     pub ran_ms: u64,
 }
@@ -250,7 +250,7 @@
 impl Wait {
     /// The same urgency, without any wait.
     #[must_use]
-    pub const fn not_at_all(self) -> Self {
+    pub const fn without_waiting(self) -> Self {
         Self { most_ms: 0, ..self }
     }
 }
--- a/src/leased/peers.rs
+++ b/src/leased/peers.rs
@@ -11,13 +11,13 @@
 use crate::leased::traffic;
 
 /// Adds a runner's pages for entries.
-pub fn runner_pages(cfg: &mut web::ServiceConfig) {
+pub fn runner_routes(cfg: &mut web::ServiceConfig) {
     cfg.route(messages::WATCH_PATH, web::post().to(watch));
     cfg.route(messages::ORDER_PATH, web::post().to(order));
 }
 
 /// Adds an entry's pages for other entries.
-pub fn entry_pages(cfg: &mut web::ServiceConfig) {
+pub fn entry_routes(cfg: &mut web::ServiceConfig) {
     cfg.route(messages::KNOWN_PATH, web::get().to(known));
 }
 
--- a/src/leased/ports.rs
+++ b/src/leased/ports.rs
@@ -140,7 +140,7 @@
     /// The run.
     pub id: messages::RunId,
     /// How.
-    pub how: messages::How,
+    pub how: messages::RunOutcome,
 }
 
 /// What a backend server said to the question what runs.
--- a/src/leased/process.rs
+++ b/src/leased/process.rs
@@ -13,7 +13,7 @@
 use crate::metrics;
 use crate::progress;
 
-type Pages = sync::Arc<dyn Fn(&mut web::ServiceConfig) + Send + Sync>;
+type Routes = sync::Arc<dyn Fn(&mut web::ServiceConfig) + Send + Sync>;
 
 /// A port with its pages.
 pub struct Port {
@@ -21,7 +21,7 @@
     /// Whether the process can't do without it.
     is_needed: bool,
     bounds: daemon::Bounds,
-    pages: Pages,
+    pages: Routes,
 }
 
 impl fmt::Debug for Port {
@@ -56,7 +56,7 @@
 }
 
 /// Starts a control actor on a thread of its own.
-pub fn control<A, F>(make: F) -> Result<actix::Addr<A>, daemon::DaemonError>
+pub fn start_control<A, F>(make: F) -> Result<actix::Addr<A>, daemon::DaemonError>
 where
     A: actix::Actor<Context = actix::Context<A>>,
     F: FnOnce() -> A + Send + 'static,
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -274,7 +274,7 @@
         let load = self.room.load(self.clock.now_ms());
         let is_ready = u64::from(load.readiness == messages::Readiness::Ready);
         let runs = self.room.runs() as u64;
-        let mut samples = self.traffic.of_runner();
+        let mut samples = self.traffic.runner_samples();
         samples.extend([
             metrics::Sample::counter(
                 "runs_started",
--- a/src/leased/traffic.rs
+++ b/src/leased/traffic.rs
@@ -6,13 +6,13 @@
 
 /// Messages of one kind.
 #[derive(Debug, Default)]
-pub struct Flow {
+pub struct MessageCounters {
     messages: atomic::AtomicU64,
     bytes: atomic::AtomicU64,
     lost: atomic::AtomicU64,
 }
 
-impl Flow {
+impl MessageCounters {
     /// A message of so many bytes went out, or came in whole.
     pub fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, atomic::Ordering::Relaxed);
@@ -21,7 +21,7 @@
     }
 
     /// A message had no answer in time, or did not come in whole.
-    pub fn lose(&self) {
+    pub fn add_lost(&self) {
         self.lost.fetch_add(1, atomic::Ordering::Relaxed);
     }
 
@@ -35,38 +35,38 @@
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Watches that an entry sent.
-    pub watches: Flow,
+    pub watches: MessageCounters,
     /// Reports that a runner sent.
-    pub reports: Flow,
+    pub reports: MessageCounters,
     /// Answers of the store.
-    pub store: Flow,
+    pub store: MessageCounters,
 }
 
 impl Traffic {
     /// The metrics of an entry.
-    pub fn of_entry(&self) -> Vec<metrics::Sample> {
+    pub fn entry_samples(&self) -> Vec<metrics::Sample> {
         let [watches, watch_bytes, watches_lost] = self.watches.read();
         let mut samples = vec![
             metrics::Sample::counter("watches", "Watches sent to runners", watches),
             metrics::Sample::counter("watch_bytes", "Bytes of those watches", watch_bytes),
             metrics::Sample::counter("watches_lost", "Watches without an answer", watches_lost),
         ];
-        samples.extend(self.of_store());
+        samples.extend(self.store_samples());
         samples
     }
 
     /// The metrics of a runner.
-    pub fn of_runner(&self) -> Vec<metrics::Sample> {
+    pub fn runner_samples(&self) -> Vec<metrics::Sample> {
         let [reports, report_bytes, _] = self.reports.read();
         let mut samples = vec![
             metrics::Sample::counter("reports", "Reports sent to entries", reports),
             metrics::Sample::counter("report_bytes", "Bytes of those reports", report_bytes),
         ];
-        samples.extend(self.of_store());
+        samples.extend(self.store_samples());
         samples
     }
 
-    fn of_store(&self) -> [metrics::Sample; 3] {
+    fn store_samples(&self) -> [metrics::Sample; 3] {
         let [answers, bytes, lost] = self.store.read();
         [
             metrics::Sample::counter("store_answers", "Whole answers of the store", answers),
--- a/tests/unit/leased/call_timeout.rs
+++ b/tests/unit/leased/call_timeout.rs
@@ -77,7 +77,7 @@
     let missed_ms = START_MS + 5 + first.wait_ms + first.timeout_ms;
     room.listed(missed_ms, START_MS + 5, ports::ListAnswer::Lost);
     let again = room.next_list(missed_ms);
-    let ended = fixtures::listing_with_end(5_010, 1, id, messages::How::Done);
+    let ended = fixtures::listing_with_end(5_010, 1, id, messages::RunOutcome::Done);
     room.listed(missed_ms + 1, missed_ms, ended);
 
     assert!(
--- a/tests/unit/leased/capacity.rs
+++ b/tests/unit/leased/capacity.rs
@@ -60,7 +60,7 @@
     room.listed(
         START_MS + 20,
         START_MS + 5,
-        fixtures::listing_with_end(5_020, 1, id.clone(), messages::How::Stopped),
+        fixtures::listing_with_end(5_020, 1, id.clone(), messages::RunOutcome::Stopped),
     );
 
     assert_eq!(fixtures::stopped(&actions), [id]);
@@ -205,7 +205,7 @@
     assert_eq!(report.ends.len(), 1);
     assert_eq!(
         (&report.ends[0].id, report.ends[0].how),
-        (&id, messages::How::Stopped)
+        (&id, messages::RunOutcome::Stopped)
     );
 }
 
@@ -239,7 +239,7 @@
     assert_eq!(over.ends.len(), 1);
     assert_eq!(
         (&over.ends[0].id, over.ends[0].how),
-        (&id, messages::How::Stopped)
+        (&id, messages::RunOutcome::Stopped)
     );
 }
 
@@ -374,7 +374,7 @@
 fn an_order_that_comes_twice_starts_its_runs_once(#[case] has_ended: bool) {
     let (mut room, id) = room_with_run();
     if has_ended {
-        let listed = fixtures::listing_with_end(5_020, 1, id.clone(), messages::How::Done);
+        let listed = fixtures::listing_with_end(5_020, 1, id.clone(), messages::RunOutcome::Done);
         room.listed(START_MS + 20, START_MS + 5, listed);
     }
 
@@ -392,7 +392,7 @@
 #[test]
 fn an_order_that_comes_again_after_its_end_was_acknowledged_starts_nothing() {
     let (mut room, id) = room_with_run();
-    let listed = fixtures::listing_with_end(5_020, 1, id.clone(), messages::How::Done);
+    let listed = fixtures::listing_with_end(5_020, 1, id.clone(), messages::RunOutcome::Done);
     room.listed(START_MS + 20, START_MS + 5, listed);
     room.report(START_MS + 21, ENTRY);
     let mut watch = fixtures::watch(ENTRY, START_MS + 25, 1, &[]);
@@ -422,7 +422,7 @@
     let copy = fixtures::order(ENTRY, 1, START_MS + 2, &[(id.clone(), 1_600)]);
 
     let (second, _) = room.order(START_MS + 10, copy.clone());
-    let listed = fixtures::listing_with_end(5_020, 1, all, messages::How::Done);
+    let listed = fixtures::listing_with_end(5_020, 1, all, messages::RunOutcome::Done);
     room.listed(START_MS + 20, START_MS + 5, listed);
     let (first, actions) = room.order(START_MS + 30, copy);
 
@@ -437,7 +437,7 @@
 #[test]
 fn an_order_that_comes_again_long_after_it_was_carried_out_is_not_called_late() {
     let (mut room, id) = room_with_run();
-    let listed = fixtures::listing_with_end(5_020, 1, id.clone(), messages::How::Done);
+    let listed = fixtures::listing_with_end(5_020, 1, id.clone(), messages::RunOutcome::Done);
     room.listed(START_MS + 20, START_MS + 5, listed);
 
     let again = fixtures::order(ENTRY, 1, START_MS, &[(id, 1_600)]);
--- a/tests/unit/leased/dispatch.rs
+++ b/tests/unit/leased/dispatch.rs
@@ -39,7 +39,7 @@
     actions.iter().filter_map(answer).collect()
 }
 
-fn end(number: u64, id: &messages::RunId, how: messages::How) -> messages::End {
+fn end(number: u64, id: &messages::RunId, how: messages::RunOutcome) -> messages::End {
     messages::End {
         number,
         id: id.clone(),
@@ -71,8 +71,8 @@
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 2)).remove(0);
     entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
-    let first = end(1, &order.starts[0].id, messages::How::Done);
-    let second = end(2, &order.starts[1].id, messages::How::Done);
+    let first = end(1, &order.starts[0].id, messages::RunOutcome::Done);
+    let second = end(2, &order.starts[1].id, messages::RunOutcome::Done);
     let still_runs = std::slice::from_ref(&order.starts[1].id);
 
     let early = messages::Report {
@@ -95,7 +95,13 @@
     let order = orders(&submit(&mut entry, START_MS, 1, 2)).remove(0);
     entry.ordered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
     let other = order.starts[1].id.clone();
-    let failed = |number, run| end(number, &fixtures::run_id(1, 0, run), messages::How::Failed);
+    let failed = |number, run| {
+        end(
+            number,
+            &fixtures::run_id(1, 0, run),
+            messages::RunOutcome::Failed,
+        )
+    };
 
     let report = messages::Report {
         ends: vec![failed(1, 1)],
@@ -139,7 +145,7 @@
     let job = fixtures::job(1, 1, 1_600, 60);
     let joined = entry.submit(START_MS + 30, job, &fixtures::queue(), Some(1_500), 77);
     entry.gone(START_MS + 31, &order.starts[0].id.job, 1);
-    let ends = vec![end(1, &order.starts[0].id, messages::How::Done)];
+    let ends = vec![end(1, &order.starts[0].id, messages::RunOutcome::Done)];
     let done = entry.reported(START_MS + 60, key, report_ends(3, ends));
 
     assert!(orders(&joined).is_empty());
@@ -313,9 +319,9 @@
             sequence += 1;
             entry.ordered(now_ms + 2, key, &order, fixtures::reply(sequence, 1_600));
             let how = if key == bad {
-                messages::How::Failed
+                messages::RunOutcome::Failed
             } else {
-                messages::How::Done
+                messages::RunOutcome::Done
             };
             to_bad.extend((key == bad).then_some(id));
             let ends = vec![end(sequence, &order.starts[0].id, how)];
@@ -418,14 +424,14 @@
 fn a_task_without_room_waits_at_a_runner() {
     let (mut entry, key) = entry();
     let mut full = fixtures::report(2, 16_000, &[]);
-    full.load.line = messages::Line::default();
+    full.load.line = messages::WaitQueue::default();
     entry.reported(START_MS + 1, key, full);
 
     let order = orders(&submit(&mut entry, START_MS + 2, 1, 3)).remove(0);
     let waiting: Vec<_> = order.starts.iter().map(|start| start.id.clone()).collect();
     entry.ordered(START_MS + 4, key, &order, fixtures::reply(3, 16_000));
     let ends = waiting.iter().zip(1..);
-    let ends = ends.map(|(id, number)| end(number, id, messages::How::NotStarted));
+    let ends = ends.map(|(id, number)| end(number, id, messages::RunOutcome::NotStarted));
     let given_back = entry.reported(START_MS + 100, key, report_full(4, ends.collect()));
     let over = entry.tick(START_MS + 100);
 
--- a/tests/unit/leased/fixtures.rs
+++ b/tests/unit/leased/fixtures.rs
@@ -135,7 +135,7 @@
     clock_ms: u64,
     number: u64,
     id: messages::RunId,
-    how: messages::How,
+    how: messages::RunOutcome,
 ) -> ports::ListAnswer {
     ports::ListAnswer::Listed(ports::Listing {
         started_at_ms: 100,
@@ -203,9 +203,9 @@
 }
 
 /// A line of one class.
-pub fn line(class: u8, cpu_milli: u32) -> messages::Line {
-    let mut line = messages::Line::default();
-    line.join(class, cpu_milli);
+pub fn line(class: u8, cpu_milli: u32) -> messages::WaitQueue {
+    let mut line = messages::WaitQueue::default();
+    line.add(class, cpu_milli);
     line
 }
 
--- a/tests/unit/leased/jobs.rs
+++ b/tests/unit/leased/jobs.rs
@@ -90,5 +90,5 @@
     assert!(!is_taken);
     assert_eq!(in_force.get().position, 9);
     assert_eq!(in_force.latest().get().position, 9);
-    assert!(in_force.latest().news_since(9).is_none());
+    assert!(in_force.latest().notice_since(9).is_none());
 }
--- a/tests/unit/leased/placing.rs
+++ b/tests/unit/leased/placing.rs
@@ -14,7 +14,7 @@
         key: keys.insert(()),
         free: fixtures::cores(cpu_milli),
         size_milli: 16_000,
-        line_milli: [0; messages::CLASSES],
+        line_milli: [0; messages::URGENCY_CLASSES],
         line_taken_milli: 0,
         is_suspect: false,
         places: u32::MAX,
@@ -104,7 +104,7 @@
 #[test]
 fn a_job_that_finds_no_place_for_all_its_tasks_takes_none() {
     let mut free = candidates(&[(1_600, true, "r1"), (0, true, "r2")]);
-    free[1].line_milli = [1_600; messages::CLASSES];
+    free[1].line_milli = [1_600; messages::URGENCY_CLASSES];
     let mut asks = asks(3, 1_600);
     for ask in &mut asks {
         ask.may_wait = true;
--- a/tests/unit/leased/play/server.rs
+++ b/tests/unit/leased/play/server.rs
@@ -32,7 +32,7 @@
 }
 
 impl Runner {
-    pub fn end(&mut self, id: messages::RunId, how: messages::How) {
+    pub fn end(&mut self, id: messages::RunId, how: messages::RunOutcome) {
         self.ends += 1;
         self.ended.push(ports::Ended {
             number: self.ends,
@@ -48,7 +48,7 @@
             .collect();
         done.sort();
         for (id, _) in done {
-            self.end(id, messages::How::Done);
+            self.end(id, messages::RunOutcome::Done);
         }
     }
 
--- a/tests/unit/leased/play/world.rs
+++ b/tests/unit/leased/play/world.rs
@@ -438,7 +438,7 @@
                 capacity::Action::Stop(call) if !is_lost => {
                     let runner = &mut self.runners[at];
                     if runner.running.remove(&call.id).is_some() {
-                        runner.end(call.id.clone(), messages::How::Stopped);
+                        runner.end(call.id.clone(), messages::RunOutcome::Stopped);
                     }
                     runner.stopped.push((now_ms + 1, call.id));
                 }
--- a/tests/unit/leased/wait_queue.rs
+++ b/tests/unit/leased/wait_queue.rs
@@ -54,7 +54,7 @@
     listing.ended = vec![ports::Ended {
         number: 1,
         id: ended.clone(),
-        how: messages::How::Done,
+        how: messages::RunOutcome::Done,
     }];
     room.listed(now_ms, now_ms - 1, ports::ListAnswer::Listed(listing))
 }
@@ -111,7 +111,7 @@
     assert_eq!(refused.refused, [(more, messages::Refusal::Room)]);
     assert_eq!(told.ends.len(), 1, "{told:?}");
     assert_eq!(told.ends[0].id, calm[1]);
-    assert_eq!(told.ends[0].how, messages::How::NotStarted);
+    assert_eq!(told.ends[0].how, messages::RunOutcome::NotStarted);
     assert_eq!(room.load(START_MS + 4).line.total_milli(), 3_200);
 }
 
@@ -130,7 +130,7 @@
 
     assert_eq!((in_time.waiting.len(), in_time.ends.len()), (1, 0));
     assert_eq!(late.ends.len(), 1);
-    assert_eq!(late.ends[0].how, messages::How::NotStarted);
+    assert_eq!(late.ends[0].how, messages::RunOutcome::NotStarted);
     assert_eq!(room.load(START_MS + 103).line.total_milli(), 0);
 }
 
@@ -175,5 +175,5 @@
     assert!(fixtures::started(&actions).is_empty());
     assert!(fixtures::stopped(&actions).is_empty());
     assert_eq!(report.ends.len(), 1, "{report:?}");
-    assert_eq!(report.ends[0].how, messages::How::NotStarted);
+    assert_eq!(report.ends[0].how, messages::RunOutcome::NotStarted);
 }
--- a/tests/unit/leased/watching.rs
+++ b/tests/unit/leased/watching.rs
@@ -284,7 +284,7 @@
         ends: vec![messages::End {
             number: 1,
             id: run,
-            how: messages::How::Done,
+            how: messages::RunOutcome::Done,
             ran_ms: 60,
         }],
         ..report(&address, 2, 0)
@@ -396,6 +396,6 @@
     room.start_answered(now_ms - 90, &id, ports::StartAnswer::Started);
     room.next_list(now_ms - 50);
     let clock_ms = 5_000 + now_ms - START_MS;
-    let listing = fixtures::listing_with_end(clock_ms, number, id, messages::How::Done);
+    let listing = fixtures::listing_with_end(clock_ms, number, id, messages::RunOutcome::Done);
     room.listed(now_ms, now_ms - 50, listing);
 }
