--- a/src/leased/capacity/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -169,7 +169,7 @@
         log::info!(event = "runner.readiness", before:? = self.told_readiness, after:? = readiness; "changed");
         self.told_readiness = readiness;
         for owner in self.owners.values_mut() {
-            owner.has_news = true;
+            owner.has_update = true;
         }
     }
 
@@ -201,7 +201,7 @@
     /// Heartbeats come every 1.5 s, and as long a restarted runner would leave its backend
     /// server idle. What was known is used once the backend server's list shows that the
     /// same life still runs; if another does, the next heartbeat tells of it.
-    pub fn recall(&mut self, known: ports::Announcement) {
+    pub fn restore_backend(&mut self, known: ports::Announcement) {
         if self.backend.is_some() {
             return;
         }
@@ -285,7 +285,7 @@
         let owner = self.owners.entry(watch.entry).or_default();
         let is_meant = watch.runner == Some(self.me);
         if !is_meant {
-            owner.has_news = true;
+            owner.has_update = true;
             return actions;
         }
         owner.hear(now_ms, watch);
@@ -301,11 +301,11 @@
     }
 
     /// Whether an entry that waits has something to be told.
-    pub fn has_news(&self, entry: ids::Incarnation) -> bool {
+    pub fn has_update(&self, entry: ids::Incarnation) -> bool {
         let Some(owner) = self.owners.get(&entry) else {
             return true;
         };
-        owner.has_news || self.latest.get().position > owner.directives_position
+        owner.has_update || self.latest.get().position > owner.directives_position
     }
 
     /// What an entry is told.
@@ -321,7 +321,7 @@
             }
         }
         let owner = self.owners.entry(entry).or_default();
-        owner.has_news = false;
+        owner.has_update = false;
         owner.told_ms = now_ms;
         let is_lacking = owner.configuration < self.latest.get().version;
         let holder = self.holder.clone().filter(|_| is_lacking);
@@ -466,7 +466,7 @@
             owner.push_end(id.clone(), how, ran_ms);
         }
         for owner in self.owners.values_mut() {
-            owner.has_news |= owner.wants_room;
+            owner.has_update |= owner.wants_room;
         }
     }
 }
--- a/src/leased/capacity/owners.rs
+++ b/src/leased/capacity/owners.rs
@@ -25,7 +25,7 @@
     /// Version of the configuration that it had whole then.
     pub configuration: u64,
     /// Whether there is something to tell at once.
-    pub has_news: bool,
+    pub has_update: bool,
     /// When a report last went out.
     pub told_ms: u64,
 }
@@ -93,7 +93,7 @@
             how,
             ran_ms,
         });
-        self.has_news = true;
+        self.has_update = true;
     }
 
     /// Whether a run's end has not been acknowledged yet.
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -97,7 +97,7 @@
     fn answer_watches(&mut self) {
         let now_ms = self.clock.now_ms();
         let is_due = |entry: &ids::Incarnation, pending: &Pending| {
-            pending.until_ms <= now_ms || self.room.has_news(*entry)
+            pending.until_ms <= now_ms || self.room.has_update(*entry)
         };
         let due = self
             .pending
@@ -222,7 +222,7 @@
         ports::BackendRestored(known): ports::BackendRestored,
         _cx: &mut Self::Context,
     ) {
-        self.room.recall(known);
+        self.room.restore_backend(known);
     }
 }
 
--- a/tests/unit/leased/capacity.rs
+++ b/tests/unit/leased/capacity.rs
@@ -341,7 +341,7 @@
 #[test]
 fn a_restarted_runner_needs_no_heartbeat_of_a_life_that_it_knew() {
     let mut room = capacity::CapacityManager::new(fixtures::RUNNER, 10);
-    room.recall(fixtures::announcement(100, 40));
+    room.restore_backend(fixtures::announcement(100, 40));
     let before = room.readiness(START_MS);
 
     room.listed(START_MS + 2, START_MS + 1, fixtures::listing(5_000, &[]));
@@ -358,7 +358,7 @@
 #[test]
 fn what_was_known_of_another_life_is_not_used() {
     let mut room = capacity::CapacityManager::new(fixtures::RUNNER, 10);
-    room.recall(fixtures::announcement(50, 40));
+    room.restore_backend(fixtures::announcement(50, 40));
 
     room.listed(START_MS + 2, START_MS + 1, fixtures::listing(5_000, &[]));
 
--- a/tests/unit/leased/play/server.rs
+++ b/tests/unit/leased/play/server.rs
@@ -115,7 +115,7 @@
         entry: ids::Incarnation,
     ) -> Option<(messages::Report, u64)> {
         let (until_ms, number) = *self.watches.get(&entry)?;
-        if now_ms < until_ms && !self.room.has_news(entry) {
+        if now_ms < until_ms && !self.room.has_update(entry) {
             return None;
         }
         self.watches.remove(&entry);
--- a/tests/unit/leased/spreading.rs
+++ b/tests/unit/leased/spreading.rs
@@ -133,7 +133,7 @@
     };
     room.watch(START_MS, &told);
 
-    let (has_news, report) = (room.has_news(ENTRY), room.report(START_MS, ENTRY));
+    let (has_news, report) = (room.has_update(ENTRY), room.report(START_MS, ENTRY));
 
     assert!(!has_news);
     assert_eq!(report.holder.as_deref(), Some(HOLDER));
