--- a/src/leased/room/lists.rs
+++ b/src/leased/capacity/listings.rs
@@ -2,9 +2,9 @@
 
 use std::collections;
 
+use crate::leased::capacity;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
 
 /// Longest wait of the question what runs; a lease is renewed as often, in milliseconds.
 const LIST_WAIT_MS: u64 = 200;
@@ -23,19 +23,22 @@
 /// from which the first one is taken, in milliseconds.
 const FENCE_STEP: u64 = 60_000;
 
-impl room::Room {
+impl capacity::CapacityManager {
     /// The next question what runs.
     pub fn next_list(&mut self, now_ms: u64) -> ports::ListCall {
         let is_renewed = self.clock.is_known() && !self.runs.is_empty();
         let lease_ms = self.lease_ms(now_ms);
         self.list_wait_ms = self.next_list_wait_ms();
         ports::ListCall {
-            life: self.backend.as_ref().map(|backend| backend.life.clone()),
+            incarnation: self
+                .backend
+                .as_ref()
+                .map(|backend| backend.incarnation.clone()),
             fence: self.fence,
             lease_until_ms: is_renewed.then(|| self.clock.grant(now_ms, lease_ms)),
             acked: self.acked,
             wait_ms: self.list_wait_ms,
-            limit_ms: self.answers.limit_ms(),
+            timeout_ms: self.call_timeout.timeout_ms(),
         }
     }
 
@@ -44,7 +47,7 @@
             return 0;
         }
         let mut stops = self.runs.values().filter_map(|run| run.stop);
-        if stops.any(|stop| stop.is_noted) {
+        if stops.any(|stop| stop.is_acknowledged) {
             SETTLE_WAIT_MS
         } else if self.runs.is_empty() {
             LIST_WAIT_MS
@@ -59,7 +62,7 @@
         now_ms: u64,
         asked_ms: u64,
         answer: ports::ListAnswer,
-    ) -> Vec<room::Action> {
+    ) -> Vec<capacity::Action> {
         self.note_answer(now_ms, asked_ms, &answer);
         let mut actions = match answer {
             ports::ListAnswer::Listed(listing) => self.take_list(now_ms, asked_ms, &listing),
@@ -68,7 +71,7 @@
                 log::warn!(event = "backend.fenced", fence = self.fence; "a greater fence was there");
                 Vec::new()
             }
-            ports::ListAnswer::OtherLife => {
+            ports::ListAnswer::OtherIncarnation => {
                 self.end_life(now_ms, "another life answered");
                 self.backend = None;
                 Vec::new()
@@ -84,8 +87,8 @@
     fn note_answer(&mut self, now_ms: u64, asked_ms: u64, answer: &ports::ListAnswer) {
         let beyond_ms = now_ms.saturating_sub(asked_ms + self.list_wait_ms);
         match answer {
-            ports::ListAnswer::Lost => self.answers.missed(),
-            _ if beyond_ms > 0 => self.answers.answered(beyond_ms),
+            ports::ListAnswer::Lost => self.call_timeout.record_timeout(),
+            _ if beyond_ms > 0 => self.call_timeout.record_response(beyond_ms),
             _ => {}
         }
     }
@@ -95,11 +98,13 @@
         now_ms: u64,
         asked_ms: u64,
         listing: &ports::Listing,
-    ) -> Vec<room::Action> {
+    ) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
-        if listing.born_ms != backend.life.born_ms || asked_ms < self.listed_asked_ms {
+        if listing.started_at_ms != backend.incarnation.started_at_ms
+            || asked_ms < self.listed_asked_ms
+        {
             return Vec::new();
         }
         self.listed_asked_ms = asked_ms;
@@ -125,19 +130,19 @@
     fn end_missing(&mut self, now_ms: u64, asked_ms: u64, listing: &ports::Listing) {
         let listed: collections::HashSet<_> =
             listing.running.iter().map(|running| &running.id).collect();
-        let is_missing = |(id, run): &(&messages::RunId, &room::Run)| {
+        let is_missing = |(id, run): &(&messages::RunId, &capacity::Run)| {
             run.settled_ms.is_some_and(|at| at < asked_ms) && !listed.contains(id)
         };
         let missing = self.runs.iter().filter(is_missing);
         let missing: Vec<_> = missing.map(|(id, _)| id.clone()).collect();
         for id in missing {
-            self.end(now_ms, &id, messages::How::Stopped);
+            self.end(now_ms, &id, messages::RunOutcome::Stopped);
         }
     }
 
     /// Stops what a former life of the runner started; until it is gone, its room and the
     /// second runs that it would allow are unknown, and nothing new is taken.
-    fn stop_unknown(&mut self, listing: &ports::Listing) -> Vec<room::Action> {
+    fn stop_unknown(&mut self, listing: &ports::Listing) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
@@ -145,11 +150,11 @@
         let unknown: Vec<_> = listing.running.iter().filter(is_unknown).collect();
         let calls = unknown.iter().map(|running| {
             log::info!(event = "run.stop", run:% = running.id, why = "left by a former life"; "stopping");
-            room::Action::Stop(ports::StopCall {
+            capacity::Action::Stop(ports::StopCall {
                 id: running.id.clone(),
-                life: backend.life.clone(),
+                incarnation: backend.incarnation.clone(),
                 fence: self.fence,
-                limit_ms: self.answers.limit_ms(),
+                timeout_ms: self.call_timeout.timeout_ms(),
             })
         });
         let calls: Vec<_> = calls.collect();
--- a/src/leased/room/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -4,13 +4,13 @@
 //! room: a run takes room from the moment it is ordered until the backend server lists
 //! its end, or until it is certain that it never started.
 
-pub mod answers;
-pub mod lease;
-pub mod line;
-pub mod lists;
+pub mod backend_clock;
+pub mod call_timeout;
+pub mod expiry;
+pub mod listings;
 pub mod orders;
 pub mod owners;
-pub mod silence;
+pub mod wait_queue;
 
 use std::collections;
 use std::sync;
@@ -25,7 +25,7 @@
 
 /// How long an entry may give no sign of life before its runs are stopped, in
 /// milliseconds. Three watches of 150 ms may be lost on the way.
-pub const OWNER_SILENCE_MS: u64 = 500;
+pub const OWNER_TIMEOUT_MS: u64 = 500;
 
 /// Lease of the backend server's runs, in milliseconds: three renewals may be lost.
 pub const LEASE_MS: u64 = 700;
@@ -60,7 +60,7 @@
     /// When it was ordered; once it has waited, when its start was sent.
     ordered_ms: u64,
     /// Its place in the line, as long as it waits for room.
-    place: Option<line::Place>,
+    place: Option<wait_queue::Place>,
     /// Whether a list has shown it running.
     is_listed: bool,
     /// Whether it is to be stopped whatever its entry wants.
@@ -73,26 +73,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Stop {
     called_ms: u64,
-    is_noted: bool,
+    is_acknowledged: bool,
 }
 
 /// The state of one runner.
 #[derive(Debug)]
-pub struct Room {
+pub struct CapacityManager {
     me: ids::Incarnation,
     fence: u64,
     backend: Option<ports::Announcement>,
-    clock: lease::BackendClock,
+    clock: backend_clock::BackendClock,
     owners: collections::HashMap<ids::Incarnation, owners::Owner>,
     runs: collections::HashMap<messages::RunId, Run>,
     used: wire::Resources,
-    line: messages::Line,
-    latest: directives::Latest,
+    line: messages::WaitQueue,
+    latest: directives::LatestNotice,
     /// The entry that last showed that it has the latest configuration whole.
     holder: Option<SmolStr>,
     acked: u64,
     listed_asked_ms: u64,
-    answers: answers::AnswerTimes,
+    call_timeout: call_timeout::CallTimeout,
     /// Wait of the last question what runs, in milliseconds.
     list_wait_ms: u64,
     heard_ms: Option<u64>,
@@ -102,23 +102,23 @@
     told_readiness: messages::Readiness,
 }
 
-impl Room {
+impl CapacityManager {
     /// A runner that has heard nothing yet; `fence` should grow from life to life.
     pub fn new(me: ids::Incarnation, fence: u64) -> Self {
         Self {
             me,
             fence,
             backend: None,
-            clock: lease::BackendClock::default(),
+            clock: backend_clock::BackendClock::default(),
             owners: collections::HashMap::new(),
             runs: collections::HashMap::new(),
             used: wire::Resources::default(),
-            line: messages::Line::default(),
-            latest: directives::Latest::default(),
+            line: messages::WaitQueue::default(),
+            latest: directives::LatestNotice::default(),
             holder: None,
             acked: 0,
             listed_asked_ms: 0,
-            answers: answers::AnswerTimes::default(),
+            call_timeout: call_timeout::CallTimeout::default(),
             list_wait_ms: 0,
             heard_ms: None,
             is_clean: false,
@@ -169,7 +169,7 @@
         log::info!(event = "runner.readiness", before:? = self.told_readiness, after:? = readiness; "changed");
         self.told_readiness = readiness;
         for owner in self.owners.values_mut() {
-            owner.has_news = true;
+            owner.has_update = true;
         }
     }
 
@@ -179,17 +179,17 @@
     /// announced itself; the earlier life must not take the later one's place.
     pub fn announced(&mut self, now_ms: u64, heard: ports::Announcement) -> bool {
         if let Some(known) = &self.backend {
-            let is_older = heard.life.born_ms < known.life.born_ms;
-            let is_same = heard.life == known.life;
+            let is_older = heard.incarnation.started_at_ms < known.incarnation.started_at_ms;
+            let is_same = heard.incarnation == known.incarnation;
             if is_older || (is_same && heard.sequence <= known.sequence) {
-                log::info!(event = "backend.heartbeat_late", born_ms = heard.life.born_ms, sequence = heard.sequence; "passed over");
+                log::info!(event = "backend.heartbeat_late", born_ms = heard.incarnation.started_at_ms, sequence = heard.sequence; "passed over");
                 return false;
             }
             if !is_same {
                 self.end_listed(now_ms);
             }
         } else {
-            log::info!(event = "backend.found", name = heard.life.name.as_str(), born_ms = heard.life.born_ms, cpu_milli = heard.size.cpu_milli; "announced");
+            log::info!(event = "backend.found", name = heard.incarnation.name.as_str(), born_ms = heard.incarnation.started_at_ms, cpu_milli = heard.size.cpu_milli; "announced");
         }
         self.backend = Some(heard);
         self.note_readiness(now_ms);
@@ -201,11 +201,11 @@
     /// Heartbeats come every 1.5 s, and as long a restarted runner would leave its backend
     /// server idle. What was known is used once the backend server's list shows that the
     /// same life still runs; if another does, the next heartbeat tells of it.
-    pub fn recall(&mut self, known: ports::Announcement) {
+    pub fn restore_backend(&mut self, known: ports::Announcement) {
         if self.backend.is_some() {
             return;
         }
-        log::info!(event = "backend.recalled", name = known.life.name.as_str(), born_ms = known.life.born_ms, cpu_milli = known.size.cpu_milli; "known from a former life");
+        log::info!(event = "backend.recalled", name = known.incarnation.name.as_str(), born_ms = known.incarnation.started_at_ms, cpu_milli = known.size.cpu_milli; "known from a former life");
         self.backend = Some(ports::Announcement {
             sequence: 0,
             ..known
@@ -217,7 +217,7 @@
         if self
             .backend
             .as_ref()
-            .is_some_and(|known| known.life.name == name)
+            .is_some_and(|known| known.incarnation.name == name)
         {
             self.end_life(now_ms, "it left");
             self.backend = None;
@@ -252,9 +252,9 @@
         log::warn!(event = "backend.life_over", runs = self.runs.len(), why = why; "its runs are over");
         let ids: Vec<_> = self.runs.keys().cloned().collect();
         for id in ids {
-            self.end(now_ms, &id, messages::How::Stopped);
+            self.end(now_ms, &id, messages::RunOutcome::Stopped);
         }
-        self.clock = lease::BackendClock::default();
+        self.clock = backend_clock::BackendClock::default();
         self.acked = 0;
         self.is_clean = false;
         self.listed_asked_ms = now_ms;
@@ -265,11 +265,11 @@
         self.latest.get()
     }
 
-    fn hear_directives(&mut self, watch: &messages::Watch) {
+    fn update_directives(&mut self, watch: &messages::Watch) {
         let is_news = watch
             .notice
             .as_ref()
-            .is_some_and(|notice| self.latest.hear(notice));
+            .is_some_and(|notice| self.latest.update(notice));
         let version = self.latest.get().version;
         if version > 0 && watch.configuration == version && watch.address.is_some() {
             self.holder.clone_from(&watch.address);
@@ -281,11 +281,11 @@
     /// An entry asks; its lease is renewed, and what it no longer wants is stopped.
     pub fn watch(&mut self, now_ms: u64, watch: &messages::Watch) -> Vec<Action> {
         let mut actions = self.tick(now_ms);
-        self.hear_directives(watch);
+        self.update_directives(watch);
         let owner = self.owners.entry(watch.entry).or_default();
         let is_meant = watch.runner == Some(self.me);
         if !is_meant {
-            owner.has_news = true;
+            owner.has_update = true;
             return actions;
         }
         owner.hear(now_ms, watch);
@@ -301,11 +301,11 @@
     }
 
     /// Whether an entry that waits has something to be told.
-    pub fn has_news(&self, entry: ids::Incarnation) -> bool {
+    pub fn has_update(&self, entry: ids::Incarnation) -> bool {
         let Some(owner) = self.owners.get(&entry) else {
             return true;
         };
-        owner.has_news || self.latest.get().position > owner.directives_position
+        owner.has_update || self.latest.get().position > owner.directives_position
     }
 
     /// What an entry is told.
@@ -321,7 +321,7 @@
             }
         }
         let owner = self.owners.entry(entry).or_default();
-        owner.has_news = false;
+        owner.has_update = false;
         owner.told_ms = now_ms;
         let is_lacking = owner.configuration < self.latest.get().version;
         let holder = self.holder.clone().filter(|_| is_lacking);
@@ -335,7 +335,7 @@
             waiting,
             ends: owner.ends(),
             directives_position: self.latest.get().position,
-            notice: self.latest.news_since(owner.directives_position),
+            notice: self.latest.notice_since(owner.directives_position),
             holder,
         }
     }
@@ -387,14 +387,16 @@
             return actions;
         };
         match answer {
-            ports::StartAnswer::Lost => self.answers.missed(),
-            _ => self.answers.answered(now_ms.saturating_sub(run.ordered_ms)),
+            ports::StartAnswer::Lost => self.call_timeout.record_timeout(),
+            _ => self
+                .call_timeout
+                .record_response(now_ms.saturating_sub(run.ordered_ms)),
         }
         match answer {
             ports::StartAnswer::Started => run.settled_ms = Some(now_ms),
             ports::StartAnswer::Refused(why) => {
                 log::warn!(event = "run.refused", run:% = id, why:? = why; "not started");
-                self.end(now_ms, id, messages::How::NotStarted);
+                self.end(now_ms, id, messages::RunOutcome::NotStarted);
             }
             // It may start any time until its lease is over; a stop that is noted keeps
             // it from starting.
@@ -404,10 +406,10 @@
     }
 
     fn stop(&mut self, now_ms: u64, id: &messages::RunId, why: &'static str) -> Option<Action> {
-        let life = self.backend.as_ref()?.life.clone();
+        let incarnation = self.backend.as_ref()?.incarnation.clone();
         let run = self.runs.get_mut(id)?;
         if run.place.is_some() {
-            self.end(now_ms, id, messages::How::NotStarted);
+            self.end(now_ms, id, messages::RunOutcome::NotStarted);
             return None;
         }
         if run
@@ -422,37 +424,38 @@
         }
         run.stop = Some(Stop {
             called_ms: now_ms,
-            is_noted: false,
+            is_acknowledged: false,
         });
         Some(Action::Stop(ports::StopCall {
             id: id.clone(),
-            life,
+            incarnation,
             fence: self.fence,
-            limit_ms: self.answers.limit_ms(),
+            timeout_ms: self.call_timeout.timeout_ms(),
         }))
     }
 
     /// The backend server noted a stop, or wasn't heard.
-    pub fn stop_answered(&mut self, now_ms: u64, id: &messages::RunId, is_noted: bool) {
+    pub fn stop_answered(&mut self, now_ms: u64, id: &messages::RunId, is_acknowledged: bool) {
         let Some(run) = self.runs.get_mut(id) else {
             return;
         };
         if let Some(stop) = &mut run.stop
-            && is_noted
+            && is_acknowledged
         {
-            stop.is_noted = true;
-            self.answers.answered(now_ms.saturating_sub(stop.called_ms));
+            stop.is_acknowledged = true;
+            self.call_timeout
+                .record_response(now_ms.saturating_sub(stop.called_ms));
             run.settled_ms = Some(run.settled_ms.unwrap_or(now_ms).max(now_ms));
         }
     }
 
-    fn end(&mut self, now_ms: u64, id: &messages::RunId, how: messages::How) {
+    fn end(&mut self, now_ms: u64, id: &messages::RunId, how: messages::RunOutcome) {
         let Some(run) = self.runs.remove(id) else {
             return;
         };
         let how = if let Some(place) = &run.place {
-            self.line.leave(place.class(), run.need.cpu_milli);
-            messages::How::NotStarted
+            self.line.subtract(place.class(), run.need.cpu_milli);
+            messages::RunOutcome::NotStarted
         } else {
             self.used = self.used.minus(&run.need);
             how
@@ -463,7 +466,7 @@
             owner.push_end(id.clone(), how, ran_ms);
         }
         for owner in self.owners.values_mut() {
-            owner.has_news |= owner.wants_room;
+            owner.has_update |= owner.wants_room;
         }
     }
 }
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -234,7 +234,7 @@
     }
 
     fn catch_up(&mut self, now_ms: u64) -> Option<Action> {
-        let is_lacking = self.directives.is_lacking();
+        let is_lacking = self.directives.is_outdated();
         let has_any = self.directives.get().is_configured();
         let holder = self
             .directives_fetch
@@ -362,7 +362,7 @@
         let latest = self.directives.latest();
         watch.directives_position = latest.get().position;
         watch.configuration = self.directives.get().version;
-        watch.notice = latest.news_since(runner.directives_position);
+        watch.notice = latest.notice_since(runner.directives_position);
         Some((runner.address().clone(), watch))
     }
 
@@ -387,7 +387,7 @@
         }
         self.note_whereabouts(key);
         if let Some(notice) = notice {
-            self.directives.hear(&notice);
+            self.directives.update_notice(&notice);
         }
         if let Some(holder) = holder {
             self.directives_fetch.add_holder(holder);
--- a/src/leased/dispatch/runners.rs
+++ b/src/leased/dispatch/runners.rs
@@ -9,12 +9,12 @@
 
 use crate::health;
 use crate::ids;
+use crate::leased::capacity;
+use crate::leased::capacity::wait_queue;
 use crate::leased::dispatch::jobs;
 use crate::leased::dispatch::watching;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
-use crate::leased::room::line;
 use crate::wire;
 
 pub use crate::membership::RunnerKey;
@@ -29,7 +29,7 @@
 
 /// Silence after which a runner's runs are surely over, in milliseconds: the lease that
 /// the entry's last sign of life allows, 2 % more for a slow clock, a stop, and a way.
-pub const RUN_EXPIRY_MS: u64 = room::OWNER_LEASE_MS + room::OWNER_LEASE_MS / 50 + 100;
+pub const RUN_EXPIRY_MS: u64 = capacity::OWNER_LEASE_MS + capacity::OWNER_LEASE_MS / 50 + 100;
 
 /// Silence after which a runner that the store doesn't list is forgotten, in milliseconds.
 const FORGET_MS: u64 = 60_000;
@@ -96,7 +96,7 @@
     /// Where it belongs.
     pub placed: Placed,
     /// How it ended.
-    pub how: messages::How,
+    pub how: messages::RunOutcome,
     /// How long it ran, in milliseconds.
     pub ran_ms: u64,
 }
@@ -224,15 +224,15 @@
 
     /// Thousandths of a core that may still wait there in each class, with this entry's orders
     /// that the runner's last word didn't contain.
-    pub fn line_milli(&self) -> [u32; messages::CLASSES] {
+    pub fn line_milli(&self) -> [u32; messages::URGENCY_CLASSES] {
         let on_the_way = self
             .placed
             .values()
             .filter(|placed| placed.accepted.is_none() && placed.waits);
         let on_the_way: u32 = on_the_way.map(|placed| placed.need.cpu_milli).sum();
-        let most = self.load.size.cpu_milli / line::LINE_SHARE;
+        let most = self.load.size.cpu_milli / wait_queue::WAIT_QUEUE_CPU_DIVISOR;
         [0, 1, 2, 3, 4].map(|class| {
-            most.saturating_sub(self.load.line.up_to(class))
+            most.saturating_sub(self.load.line.milli_up_to(class))
                 .saturating_sub(on_the_way)
         })
     }
@@ -359,7 +359,7 @@
         }
         let refused = reply.refused.into_iter();
         refused
-            .filter_map(|(id, _)| self.over(&id, messages::How::NotStarted, 0))
+            .filter_map(|(id, _)| self.over(&id, messages::RunOutcome::NotStarted, 0))
             .collect()
     }
 
@@ -367,7 +367,7 @@
     pub fn unsent(&mut self, order: &messages::Order) -> Vec<Over> {
         let starts = order.starts.iter();
         starts
-            .filter_map(|start| self.over(&start.id, messages::How::NotStarted, 0))
+            .filter_map(|start| self.over(&start.id, messages::RunOutcome::NotStarted, 0))
             .collect()
     }
 
@@ -431,7 +431,7 @@
         }
         let over = lost
             .iter()
-            .filter_map(|id| self.over(id, messages::How::Stopped, 0));
+            .filter_map(|id| self.over(id, messages::RunOutcome::Stopped, 0));
         over.collect()
     }
 
@@ -442,11 +442,16 @@
         }
         let ids: Vec<_> = self.placed.keys().cloned().collect();
         ids.iter()
-            .filter_map(|id| self.over(id, messages::How::Stopped, 0))
+            .filter_map(|id| self.over(id, messages::RunOutcome::Stopped, 0))
             .collect()
     }
 
-    fn over(&mut self, id: &messages::RunId, how: messages::How, ran_ms: u64) -> Option<Over> {
+    fn over(
+        &mut self,
+        id: &messages::RunId,
+        how: messages::RunOutcome,
+        ran_ms: u64,
+    ) -> Option<Over> {
         let placed = self.placed.remove(id)?;
         Some(Over {
             id: id.clone(),
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -10,10 +10,10 @@
 use crate::clock;
 use crate::control;
 use crate::ids;
+use crate::leased::capacity;
 use crate::leased::dispatch;
 use crate::leased::messages;
 use crate::leased::ports;
-use crate::leased::room;
 use crate::leased::traffic;
 use crate::metrics;
 
@@ -51,7 +51,7 @@
 /// The control thread's state.
 #[derive(Debug)]
 pub struct Control {
-    room: room::Room,
+    room: capacity::CapacityManager,
     clock: clock::Clock,
     backend: Box<dyn ports::Backend>,
     traffic: sync::Arc<traffic::Traffic>,
@@ -66,7 +66,7 @@
     /// A runner that has heard nothing yet.
     pub fn new(parts: Parts) -> Self {
         Self {
-            room: room::Room::new(parts.me, parts.fence),
+            room: capacity::CapacityManager::new(parts.me, parts.fence),
             clock: parts.clock,
             backend: parts.backend,
             traffic: parts.traffic,
@@ -78,14 +78,14 @@
         }
     }
 
-    fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<room::Action>) {
+    fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<capacity::Action>) {
         for action in actions {
             match action {
-                room::Action::Start(call) => {
+                capacity::Action::Start(call) => {
                     self.starts += 1;
                     self.backend.start(call, cx.address().recipient());
                 }
-                room::Action::Stop(call) => {
+                capacity::Action::Stop(call) => {
                     self.stops += 1;
                     self.backend.stop(call, cx.address().recipient());
                 }
@@ -97,7 +97,7 @@
     fn answer_watches(&mut self) {
         let now_ms = self.clock.now_ms();
         let is_due = |entry: &ids::Incarnation, pending: &Pending| {
-            pending.until_ms <= now_ms || self.room.has_news(*entry)
+            pending.until_ms <= now_ms || self.room.has_update(*entry)
         };
         let due = self
             .pending
@@ -120,7 +120,7 @@
     type Context = actix::Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
-        self.backend.keep_listing(cx.address().recipient());
+        self.backend.poll_listings(cx.address().recipient());
         cx.run_interval(TICK, |actor, cx| {
             let now_ms = actor.clock.now_ms();
             let actions = actor.room.tick(now_ms);
@@ -187,7 +187,7 @@
 
     fn handle(&mut self, heard: ports::StopAnswered, _cx: &mut Self::Context) {
         self.room
-            .stop_answered(self.clock.now_ms(), &heard.id, heard.is_noted);
+            .stop_answered(self.clock.now_ms(), &heard.id, heard.is_acknowledged);
     }
 }
 
@@ -197,7 +197,7 @@
     fn handle(&mut self, heard: ports::ListAnswered, cx: &mut Self::Context) -> Self::Result {
         if let Some(answer) = heard.answer {
             let now_ms = self.clock.now_ms();
-            let actions = self.room.listed(now_ms, heard.asked_ms, answer);
+            let actions = self.room.listed(now_ms, heard.sent_at_ms, answer);
             self.act(cx, actions);
         }
         actix::MessageResult(self.room.next_list(self.clock.now_ms()))
@@ -214,11 +214,15 @@
     }
 }
 
-impl actix::Handler<ports::Recalled> for Control {
+impl actix::Handler<ports::BackendRestored> for Control {
     type Result = ();
 
-    fn handle(&mut self, ports::Recalled(known): ports::Recalled, _cx: &mut Self::Context) {
-        self.room.recall(known);
+    fn handle(
+        &mut self,
+        ports::BackendRestored(known): ports::BackendRestored,
+        _cx: &mut Self::Context,
+    ) {
+        self.room.restore_backend(known);
     }
 }
 
@@ -270,7 +274,7 @@
         let load = self.room.load(self.clock.now_ms());
         let is_ready = u64::from(load.readiness == messages::Readiness::Ready);
         let runs = self.room.runs() as u64;
-        let mut samples = self.traffic.of_runner();
+        let mut samples = self.traffic.runner_samples();
         samples.extend([
             metrics::Sample::counter(
                 "runs_started",
--- a/tests/unit/leased/play/server.rs
+++ b/tests/unit/leased/play/server.rs
@@ -3,9 +3,9 @@
 use std::collections;
 
 use bulrushtiller::ids;
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 
 use super::site;
 use crate::leased::fixtures;
@@ -21,7 +21,7 @@
 }
 
 pub struct Runner {
-    pub room: room::Room,
+    pub room: capacity::CapacityManager,
     pub watches: collections::HashMap<ids::Incarnation, (u64, u64)>,
     pub running: collections::HashMap<messages::RunId, u64>,
     pub ended: Vec<ports::Ended>,
@@ -32,7 +32,7 @@
 }
 
 impl Runner {
-    pub fn end(&mut self, id: messages::RunId, how: messages::How) {
+    pub fn end(&mut self, id: messages::RunId, how: messages::RunOutcome) {
         self.ends += 1;
         self.ended.push(ports::Ended {
             number: self.ends,
@@ -48,11 +48,11 @@
             .collect();
         done.sort();
         for (id, _) in done {
-            self.end(id, messages::How::Done);
+            self.end(id, messages::RunOutcome::Done);
         }
     }
 
-    pub fn hear_answers(&mut self, now_ms: u64) -> Vec<room::Action> {
+    pub fn hear_answers(&mut self, now_ms: u64) -> Vec<capacity::Action> {
         let mut actions = Vec::new();
         let started: Vec<_> = self
             .started
@@ -104,7 +104,7 @@
         self.listing = Listing {
             asked_ms: now_ms,
             until_ms: until_ms.max(now_ms + 1),
-            lost_ms: until_ms + call.limit_ms,
+            lost_ms: until_ms + call.timeout_ms,
             is_lost,
         };
     }
@@ -115,7 +115,7 @@
         entry: ids::Incarnation,
     ) -> Option<(messages::Report, u64)> {
         let (until_ms, number) = *self.watches.get(&entry)?;
-        if now_ms < until_ms && !self.room.has_news(entry) {
+        if now_ms < until_ms && !self.room.has_update(entry) {
             return None;
         }
         self.watches.remove(&entry);
@@ -125,7 +125,7 @@
 
 /// A runner that takes work, and its backend server.
 pub fn new(site: &site::Site, at: usize) -> Runner {
-    let mut room = room::Room::new(ids::Incarnation(1_000 + at as u64), 10);
+    let mut room = capacity::CapacityManager::new(ids::Incarnation(1_000 + at as u64), 10);
     let announcement = ports::Announcement {
         zone: site.zone_of(at),
         ..fixtures::announcement(100, 1)
--- a/tests/unit/leased/line.rs
+++ b/tests/unit/leased/wait_queue.rs
@@ -1,8 +1,8 @@
 //! Runs that wait at a runner for room.
 
+use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::messages;
 use bulrushtiller::leased::ports;
-use bulrushtiller::leased::room;
 use rstest::rstest;
 
 use super::fixtures;
@@ -11,8 +11,8 @@
 use super::fixtures::START_MS;
 
 /// A room that is full with ten runs of another entry.
-fn full_room() -> (room::Room, Vec<messages::RunId>) {
-    let mut room = fixtures::ready_room();
+fn full_room() -> (capacity::CapacityManager, Vec<messages::RunId>) {
+    let mut room = fixtures::ready_manager();
     let runs: Vec<_> = (0..10).map(|at| fixtures::run_id(9, at, 1)).collect();
     let starts: Vec<_> = runs.iter().map(|id| (id.clone(), 1_600)).collect();
     let third = bulrushtiller::ids::Incarnation(3);
@@ -42,7 +42,11 @@
     order
 }
 
-fn end_one(room: &mut room::Room, now_ms: u64, runs: &[messages::RunId]) -> Vec<room::Action> {
+fn end_one(
+    room: &mut capacity::CapacityManager,
+    now_ms: u64,
+    runs: &[messages::RunId],
+) -> Vec<capacity::Action> {
     let (ended, left) = runs.split_first().expect("a run");
     let ports::ListAnswer::Listed(mut listing) = fixtures::listing(5_010, left) else {
         panic!("a list");
@@ -50,7 +54,7 @@
     listing.ended = vec![ports::Ended {
         number: 1,
         id: ended.clone(),
-        how: messages::How::Done,
+        how: messages::RunOutcome::Done,
     }];
     room.listed(now_ms, now_ms - 1, ports::ListAnswer::Listed(listing))
 }
@@ -107,7 +111,7 @@
     assert_eq!(refused.refused, [(more, messages::Refusal::Room)]);
     assert_eq!(told.ends.len(), 1, "{told:?}");
     assert_eq!(told.ends[0].id, calm[1]);
-    assert_eq!(told.ends[0].how, messages::How::NotStarted);
+    assert_eq!(told.ends[0].how, messages::RunOutcome::NotStarted);
     assert_eq!(room.load(START_MS + 4).line.total_milli(), 3_200);
 }
 
@@ -126,7 +130,7 @@
 
     assert_eq!((in_time.waiting.len(), in_time.ends.len()), (1, 0));
     assert_eq!(late.ends.len(), 1);
-    assert_eq!(late.ends[0].how, messages::How::NotStarted);
+    assert_eq!(late.ends[0].how, messages::RunOutcome::NotStarted);
     assert_eq!(room.load(START_MS + 103).line.total_milli(), 0);
 }
 
@@ -171,5 +175,5 @@
     assert!(fixtures::started(&actions).is_empty());
     assert!(fixtures::stopped(&actions).is_empty());
     assert_eq!(report.ends.len(), 1, "{report:?}");
-    assert_eq!(report.ends[0].how, messages::How::NotStarted);
+    assert_eq!(report.ends[0].how, messages::RunOutcome::NotStarted);
 }
