--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -241,7 +241,7 @@
                 move |cfg| {
                     cfg.app_data(web::Data::new(shared.clone()));
                     cfg.app_data(web::Data::new(ways.clone()));
-                    entry::http::public_pages(cfg);
+                    entry::http::public_routes(cfg);
                 }
             },
         )?;
@@ -253,7 +253,7 @@
             move |cfg| {
                 cfg.app_data(web::Data::new(shared.clone()));
                 cfg.app_data(web::Data::new(ways.clone()));
-                entry::http::peer_pages(cfg);
+                entry::http::peer_routes(cfg);
             },
         )?;
         announce(&[("peers", peer_address), ("listening", address)])?;
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -42,7 +42,7 @@
 const CANCELS_AT_ONCE: usize = 64;
 
 /// Pages for callers and operators.
-pub fn public_pages(cfg: &mut web::ServiceConfig) {
+pub fn public_routes(cfg: &mut web::ServiceConfig) {
     incoming::numbered(cfg);
     cfg.route("/v1/tickets", web::post().to(tickets));
     cfg.route("/v1/jobs", web::post().to(submit_job));
@@ -55,7 +55,7 @@
 }
 
 /// Pages for other processes.
-pub fn peer_pages(cfg: &mut web::ServiceConfig) {
+pub fn peer_routes(cfg: &mut web::ServiceConfig) {
     incoming::numbered(cfg);
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
     cfg.route(wire::FORWARD_PATH, web::post().to(forwarded));
