--- a/measure/src/slopes/entry.rs
+++ b/measure/src/slopes/entry.rs
@@ -93,7 +93,7 @@
     for at in 0..100 {
         entry.heartbeat(fixtures::NOW_MS, &fixtures::heartbeat(at, 1, 0));
     }
-    assert_eq!((entry.queued() + entry.handed_out()) as u64, tasks);
+    assert_eq!((entry.queued() + entry.dispatched()) as u64, tasks);
     let each = slopes::time_each(100, |at| {
         entry.tick(fixtures::NOW_MS + at);
     });
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -257,7 +257,7 @@
     }
 
     /// How many tasks are handed out.
-    pub fn handed_out(&self) -> usize {
+    pub fn dispatched(&self) -> usize {
         self.in_flight.len()
     }
 
