--- a/measure/src/sim/events.rs
+++ b/measure/src/sim/events.rs
@@ -78,7 +78,7 @@
 #[derive(Debug)]
 pub(super) enum ToEntry {
     Reply(wire::DispatchReply),
-    Failed(ids::Attempt, attempts::Fault),
+    Failed(ids::Attempt, attempts::DispatchError),
     Fenced(wire::Fence, wire::FenceReply),
     Heartbeat(wire::Heartbeat),
     HeartbeatReply(wire::HeartbeatReply),
--- a/measure/src/sim/faults.rs
+++ b/measure/src/sim/faults.rs
@@ -50,7 +50,7 @@
         let mut running = self.runners[runner].running_attempts();
         running.sort_unstable();
         for attempt in running {
-            self.call_fails(runner, attempt, attempts::Fault::Lost);
+            self.call_fails(runner, attempt, attempts::DispatchError::Lost);
         }
     }
 
@@ -58,7 +58,7 @@
         &mut self,
         runner: usize,
         attempt: ids::Attempt,
-        fault: attempts::Fault,
+        fault: attempts::DispatchError,
     ) {
         if let Some(entry) = self.owner_of(attempt) {
             self.reply(runner, entry, events::ToEntry::Failed(attempt, fault));
--- a/measure/src/sim/servers.rs
+++ b/measure/src/sim/servers.rs
@@ -50,7 +50,7 @@
     /// A dispatch that was not sent goes elsewhere; a question is asked again.
     fn refused_connection(&mut self, index: usize, message: events::ToRunner) {
         if let events::ToRunner::Dispatch(dispatch) = message {
-            self.call_fails(index, dispatch.attempt, attempts::Fault::NotSent);
+            self.call_fails(index, dispatch.attempt, attempts::DispatchError::NotSent);
         }
     }
 
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -18,7 +18,7 @@
 
 /// Why a dispatch brought no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Fault {
+pub enum DispatchError {
     /// The connection was not made: nothing was sent.
     NotSent,
     /// Something was sent; what came of it is not known.
@@ -69,19 +69,19 @@
         &mut self,
         now_ms: u64,
         attempt: ids::Attempt,
-        fault: Fault,
+        fault: DispatchError,
     ) -> Vec<core::Action> {
         let mut actions = self.wake(now_ms);
         if self.in_flight.get(attempt.number).is_none() {
             return actions;
         }
         match fault {
-            Fault::NotSent => {
+            DispatchError::NotSent => {
                 let code = codes::Code::BackendUnreachable;
                 actions.extend(self.not_started(now_ms, attempt.number, code));
                 actions.extend(self.pump(now_ms));
             }
-            Fault::Lost => {
+            DispatchError::Lost => {
                 self.mark_lost(now_ms, attempt.number);
                 actions.extend(self.ask(now_ms, attempt.number));
             }
--- a/src/entry/dispatching.rs
+++ b/src/entry/dispatching.rs
@@ -91,10 +91,10 @@
 
 /// A refusal with an HTTP status may have come from a release that reads the
 /// message in another way; what it did is asked about like after silence.
-fn fault(err: &outgoing::CallError) -> attempts::Fault {
+fn fault(err: &outgoing::CallError) -> attempts::DispatchError {
     match err {
-        outgoing::CallError::NotSent(_) => attempts::Fault::NotSent,
-        _ => attempts::Fault::Lost,
+        outgoing::CallError::NotSent(_) => attempts::DispatchError::NotSent,
+        _ => attempts::DispatchError::Lost,
     }
 }
 
--- a/src/entry/messages.rs
+++ b/src/entry/messages.rs
@@ -61,7 +61,7 @@
     /// Which.
     pub attempt: ids::Attempt,
     /// How.
-    pub reply: Result<wire::DispatchReply, attempts::Fault>,
+    pub reply: Result<wire::DispatchReply, attempts::DispatchError>,
 }
 
 /// A question to a runner was answered.
--- a/tests/unit/dispatching/world.rs
+++ b/tests/unit/dispatching/world.rs
@@ -40,7 +40,7 @@
 pub enum Message {
     Dispatch(usize, Box<wire::Dispatch>),
     DispatchReply(Box<wire::DispatchReply>),
-    DispatchFailed(ids::Attempt, attempts::Fault),
+    DispatchFailed(ids::Attempt, attempts::DispatchError),
     Fence(usize, wire::Fence),
     FenceReply(wire::Fence, Box<wire::FenceReply>),
     TaskEnded(usize, ids::Incarnation, ids::Attempt, runner::core::End),
@@ -259,13 +259,13 @@
     fn send_dispatch(&mut self, runner: usize, dispatch: wire::Dispatch) {
         let attempt = dispatch.attempt;
         if self.happens(self.trouble.lost) {
-            let fault = Message::DispatchFailed(attempt, attempts::Fault::NotSent);
+            let fault = Message::DispatchFailed(attempt, attempts::DispatchError::NotSent);
             self.send(fault);
             return;
         }
         if self.happens(self.trouble.lost) {
             let after_ms = self.rng.random_range(1..3_000);
-            let fault = Message::DispatchFailed(attempt, attempts::Fault::Lost);
+            let fault = Message::DispatchFailed(attempt, attempts::DispatchError::Lost);
             self.post(after_ms, fault);
         }
         if self.happens(self.trouble.repeated) {
