--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -1,6 +1,7 @@
 //! Tests of the pure modules.
 
 mod admission;
+mod answer_retention;
 mod answers;
 mod api;
 mod audit;
@@ -19,7 +20,7 @@
 mod leading;
 mod learning;
 mod leased;
-mod leaving;
+mod leaving_runners;
 mod membership;
 mod metrics;
 mod naming;
@@ -28,7 +29,6 @@
 mod placement;
 mod queue;
 mod ramp;
-mod remembering;
 mod retry;
 mod runner;
 mod settings;
--- a/tests/unit/stops.rs
+++ b/tests/unit/stops.rs
@@ -15,8 +15,8 @@
 pub const TEAM: SmolStr = SmolStr::new_static("escola");
 pub const SLOTS: usize = 2;
 pub const TICK_MS: u64 = 20;
-pub const ENTRY_LIFE: ids::Incarnation = ids::Incarnation(7);
-pub const RUNNER_LIFE: ids::Incarnation = ids::Incarnation(1);
+pub const ENTRY_INCARNATION: ids::Incarnation = ids::Incarnation(7);
+pub const RUNNER_INCARNATION: ids::Incarnation = ids::Incarnation(1);
 
 pub fn peer(role: wire::Role, name: &str, incarnation: ids::Incarnation) -> wire::Peer {
     wire::Peer {
--- a/tests/unit/stops/entry.rs
+++ b/tests/unit/stops/entry.rs
@@ -72,7 +72,7 @@
 
 impl EntryWorld {
     fn new() -> Self {
-        let me = stops::peer(wire::Role::Entry, "entry", stops::ENTRY_LIFE);
+        let me = stops::peer(wire::Role::Entry, "entry", stops::ENTRY_INCARNATION);
         let mut world = Self {
             core: entry::core::Core::new(me, stops::settings(), 0, 1),
             now_ms: 0,
@@ -101,7 +101,7 @@
             ..wire::Heartbeat::new(stops::peer(
                 wire::Role::Runner,
                 "runner",
-                stops::RUNNER_LIFE,
+                stops::RUNNER_INCARNATION,
             ))
         };
         let (_, mut actions) = self.core.heartbeat(self.now_ms, &heartbeat);
--- a/tests/unit/stops/runner.rs
+++ b/tests/unit/stops/runner.rs
@@ -43,7 +43,7 @@
 
 fn attempt(number: usize) -> ids::Attempt {
     ids::Attempt {
-        owner: stops::ENTRY_LIFE,
+        owner: stops::ENTRY_INCARNATION,
         number: number as u64,
     }
 }
@@ -52,7 +52,7 @@
     wire::Dispatch {
         version: wire::VERSION,
         attempt: attempt(number),
-        incarnation: stops::RUNNER_LIFE,
+        incarnation: stops::RUNNER_INCARNATION,
         epoch: 1,
         entry: "entry".into(),
         team: stops::TEAM,
@@ -153,7 +153,7 @@
 
 fn runner_core() -> runner::core::Core {
     let parts = runner::core::Parts {
-        me: stops::peer(wire::Role::Runner, "runner", stops::RUNNER_LIFE),
+        me: stops::peer(wire::Role::Runner, "runner", stops::RUNNER_INCARNATION),
         slots: 2,
         size: stops::ZERO,
     };
