--- a/measure/src/sim/lives.rs
+++ b/measure/src/sim/lives.rs
@@ -158,7 +158,7 @@
     }
 
     fn receive_code(&mut self, job: usize, code: codes::Code) {
-        let answer = answer::plain(None, code, true);
+        let answer = answer::bare(None, code, true);
         self.receive(job, &answer);
     }
 
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -181,7 +181,7 @@
         let Some(open) = self.jobs.open_mut(flight.task.submission) else {
             return Vec::new();
         };
-        let verdict = open.verdict();
+        let verdict = open.give_up_reason();
         if verdict.is_some() || code == codes::Code::NeverFits {
             let code = verdict.map_or(code, |verdict| verdict.code);
             return self.decide(now_ms, flight.task, jobs::Decided::not_run(code));
@@ -213,7 +213,7 @@
         };
         let progress = open.progress(item.task.index);
         let is_waiting = matches!(progress, Some(jobs::Progress::Queued));
-        if is_waiting && open.verdict().is_none() {
+        if is_waiting && open.give_up_reason().is_none() {
             self.queue.push(item);
         }
     }
@@ -252,7 +252,7 @@
     fn cause_of(&self, task: jobs::TaskKey, code: codes::Code) -> codes::Code {
         let open = self.jobs.open_at(task.submission);
         let verdict = open
-            .and_then(jobs::Open::verdict)
+            .and_then(jobs::Open::give_up_reason)
             .map(|verdict| verdict.code);
         match (code, verdict) {
             (codes::Code::Cancelled, Some(codes::Code::DeadlineNotRun)) => {
@@ -293,7 +293,7 @@
         let Some(open) = self.jobs.open_mut(flight.task.submission) else {
             return false;
         };
-        if !open.header.is_idempotent || open.verdict().is_some() {
+        if !open.header.is_idempotent || open.give_up_reason().is_some() {
             return false;
         }
         let deadline_ms = open.header.deadline_ms;
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -45,7 +45,7 @@
 
 impl Reply {
     fn plain(id: Option<ids::SubmissionId>, code: codes::Code, is_final: bool) -> Self {
-        Self::Answer(Box::new(answer::plain(id, code, is_final)))
+        Self::Answer(Box::new(answer::bare(id, code, is_final)))
     }
 
     const fn forward(owner: wire::Peer, if_silent: (codes::Code, bool)) -> Self {
@@ -213,7 +213,7 @@
 
     /// What is kept of the answer, or that it is to be waited for.
     fn told_again(&mut self, now_ms: u64, key: jobs::Key, id: &ids::SubmissionId) -> Reply {
-        self.jobs.ask(now_ms, key);
+        self.jobs.touch(now_ms, key);
         let known = self.jobs.get(key);
         let answer = known.and_then(|known| known.answer(Some(id)));
         answer.map_or(Reply::Open(key), |answer| Reply::Answer(Box::new(answer)))
@@ -236,7 +236,7 @@
         } = refusal;
         let plain = |id| api::Answer {
             retry_after_ms,
-            ..answer::plain(id, code, true)
+            ..answer::bare(id, code, true)
         };
         if !is_known_to_caller {
             return plain(None);
@@ -246,7 +246,7 @@
             return plain(id);
         }
         let refusal = plain(id);
-        let is_remembered = self.jobs.refuse(header, refusal.clone());
+        let is_remembered = self.jobs.insert_refusal(header, refusal.clone());
         api::Answer {
             is_final: is_remembered,
             ..refusal
--- a/src/entry/claim_calls.rs
+++ b/src/entry/claim_calls.rs
@@ -43,7 +43,7 @@
             // The settling drops the sender, which ends the wait like a message would.
             let _settled = rx.await;
             control.send(message).await.unwrap_or_else(|_ended| {
-                let answer = jobs::answer::plain(None, codes::Code::OwnerGone, true);
+                let answer = jobs::answer::bare(None, codes::Code::OwnerGone, true);
                 messages::Resolution::Answer(Box::new(answer))
             })
         })
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -65,7 +65,7 @@
         api::Answer {
             retry_after_ms: Some(CLAIM_RETRY_MS),
             ticket: Some(self.ticket()),
-            ..answer::plain(Some(id), codes::Code::ClaimUnavailable, is_final)
+            ..answer::bare(Some(id), codes::Code::ClaimUnavailable, is_final)
         }
     }
 
--- a/src/entry/ending.rs
+++ b/src/entry/ending.rs
@@ -15,10 +15,10 @@
         let Some(open) = self.jobs.open_at(task.submission) else {
             return Vec::new();
         };
-        let was_given_up = open.verdict().is_some();
+        let was_given_up = open.give_up_reason().is_some();
         self.jobs.decide(now_ms, task, decided);
         let open = self.jobs.open_at(task.submission);
-        let is_new = |open: &jobs::Open| open.verdict().is_some() && !open.is_decided();
+        let is_new = |open: &jobs::Open| open.give_up_reason().is_some() && !open.is_decided();
         if !was_given_up && open.is_some_and(is_new) {
             return self.give_up(now_ms, task.submission, codes::Code::NotNeeded);
         }
@@ -40,7 +40,7 @@
         };
         let mut dispatched = Vec::new();
         let mut queued = Vec::new();
-        for (index, progress) in open.all() {
+        for (index, progress) in open.iter_progress() {
             match progress {
                 jobs::Progress::Queued => queued.push(index),
                 jobs::Progress::Dispatched(attempt) => dispatched.push(*attempt),
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -44,7 +44,7 @@
     let too_large = codes::Code::TooLarge;
     if matches!(reply, Err(outgoing::CallError::Refused(status)) if status == too_large.http_status())
     {
-        return Some(answer::plain(id, too_large, true));
+        return Some(answer::bare(id, too_large, true));
     }
     if let Err(e) = &reply {
         let id = id.as_ref().map(ToString::to_string).unwrap_or_default();
@@ -71,7 +71,7 @@
 ) -> api::Answer {
     api::Answer {
         retry_after_ms: (!is_final).then_some(SILENT_RETRY_MS),
-        ..answer::plain(id, code, is_final)
+        ..answer::bare(id, code, is_final)
     }
 }
 
@@ -154,7 +154,7 @@
     declined: &str,
 ) -> api::Answer {
     let Ok(ticket) = shared.control.send(messages::WantOwnTicket).await else {
-        return answer::plain(None, codes::Code::Leaving, true);
+        return answer::bare(None, codes::Code::Leaving, true);
     };
     let id = ticket.to_string();
     log::info!(event = "pass_on.declined", submission = id, declined = declined; "kept here");
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -123,7 +123,7 @@
                 }
             },
             // The control thread ended with the call before it; it may have taken it in.
-            Err(_ended) => answer::plain(id, codes::Code::OwnerGone, true),
+            Err(_ended) => answer::bare(id, codes::Code::OwnerGone, true),
         }
     }
 }
@@ -331,7 +331,7 @@
     };
     let id = call_id(&forward.call);
     let answer = if forward.incarnation != shared.incarnation {
-        answer::plain(id, codes::Code::OwnerGone, true)
+        answer::bare(id, codes::Code::OwnerGone, true)
     } else if let Err(refusal) = check_forward(&shared, &forward) {
         refusal.answer(id)
     } else {
@@ -368,7 +368,7 @@
     };
     match shared.control.send(message).await {
         Ok(messages::Resolution::Answer(answer)) => *answer,
-        Ok(messages::Resolution::Forward { .. }) => answer::plain(id, codes::Code::OwnerGone, true),
+        Ok(messages::Resolution::Forward { .. }) => answer::bare(id, codes::Code::OwnerGone, true),
         Err(_ended) => forwarding::silent(id, (codes::Code::OwnerSilent, false)),
     }
 }
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -281,7 +281,11 @@
                 .run_time(team, kind, declared_ms, DEFAULT_RUN_MS);
             estimate.is_learned.then_some(estimate.run_ms)
         };
-        let nearing = self.jobs.due().nearing(now_ms, learned_ms).into_iter();
+        let nearing = self
+            .jobs
+            .due()
+            .near_deadline(now_ms, learned_ms)
+            .into_iter();
         let hopeless = nearing.filter(|key| self.is_hopeless(now_ms, *key));
         let hopeless: Vec<_> = hopeless.collect();
         let code = codes::Code::DeadlineNotRun;
@@ -297,7 +301,7 @@
         };
         let is_waiting =
             |(_, progress): (u32, &jobs::Progress)| matches!(progress, jobs::Progress::Queued);
-        if open.verdict().is_some() || !open.all().all(is_waiting) {
+        if open.give_up_reason().is_some() || !open.iter_progress().all(is_waiting) {
             return false;
         }
         let left_ms = open.header.deadline_ms.saturating_sub(now_ms);
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -111,7 +111,7 @@
         let Some(open) = self.jobs.open_at(submission) else {
             return;
         };
-        for (_, progress) in open.all() {
+        for (_, progress) in open.iter_progress() {
             let jobs::Progress::Dispatched(attempt) = progress else {
                 continue;
             };
--- a/src/entry/tick.rs
+++ b/src/entry/tick.rs
@@ -22,7 +22,7 @@
         self.mind_pause(now_ms);
         let timeouts = self.settings.timeouts;
         self.jobs.advance(now_ms, timeouts.retain_ms.into());
-        self.jobs.shorten(now_ms, timeouts.answer_ms.into());
+        self.jobs.compact(now_ms, timeouts.answer_ms.into());
         let dead_after = u64::from(timeouts.dead_after_ms);
         self.tick_load(now_ms);
         let mut actions = self.end_overdue(now_ms);
@@ -64,7 +64,7 @@
         self.last_tick_ms = now_ms;
         if gap > PAUSE_MS {
             self.members.forgive(gap);
-            self.jobs.forgive(gap);
+            self.jobs.exclude_pause(gap);
         }
     }
 
@@ -93,7 +93,7 @@
             return Vec::new();
         };
         let undecided = open
-            .all()
+            .iter_progress()
             .filter(|(_, p)| !matches!(p, jobs::Progress::Decided(_)));
         let undecided: Vec<u32> = undecided.map(|(index, _)| index).collect();
         for index in undecided {
--- a/src/entry/waiting.rs
+++ b/src/entry/waiting.rs
@@ -45,7 +45,7 @@
     ) -> actix::ResponseFuture<messages::Resolution> {
         let now_ms = self.now_ms();
         let Some(pending) = self.core.pending(now_ms, key) else {
-            let answer = jobs::answer::plain(None, codes::Code::UnknownSubmission, true);
+            let answer = jobs::answer::bare(None, codes::Code::UnknownSubmission, true);
             return ready(answer);
         };
         if pending.is_final || wait_ms == 0 {
@@ -119,7 +119,7 @@
             }
             calls::Reply::Claiming(name) => match again {
                 Some(again) => self.call_again(cx, name, again),
-                None => ready(jobs::answer::plain(None, codes::Code::BadTicket, true)),
+                None => ready(jobs::answer::bare(None, codes::Code::BadTicket, true)),
             },
             calls::Reply::Open(key) => self.wait(cx, key, wait_ms),
         }
--- a/src/incoming.rs
+++ b/src/incoming.rs
@@ -113,7 +113,7 @@
 
     /// The final answer that says so.
     pub fn answer(&self, id: Option<ids::SubmissionId>) -> api::Answer {
-        let plain = answer::plain(id, self.code, true);
+        let plain = answer::bare(id, self.code, true);
         if self.detail.is_empty() {
             return plain;
         }
@@ -138,7 +138,7 @@
 
 /// Refuses with a numbered result; nothing was started because of the request.
 pub fn refuse(code: codes::Code) -> actix_web::HttpResponse {
-    answer(&answer::plain(None, code, true))
+    answer(&answer::bare(None, code, true))
 }
 
 /// Gives a query string or a path that can't be read its numbered result.
--- a/src/jobs/answer.rs
+++ b/src/jobs/answer.rs
@@ -9,7 +9,10 @@
 
 /// The final answer of a submission whose tasks are all decided.
 pub fn compose(open: &jobs::Open, now_ms: u64) -> api::Answer {
-    let decided: Vec<&jobs::Decided> = open.all().filter_map(|(_, p)| decided(p)).collect();
+    let decided: Vec<&jobs::Decided> = open
+        .iter_progress()
+        .filter_map(|(_, p)| decided(p))
+        .collect();
     let code = overall(&decided);
     let is_complete = code == codes::Code::Complete;
     let tasks = decided
@@ -19,7 +22,7 @@
     api::Answer {
         tasks,
         elapsed_ms: now_ms.saturating_sub(open.header.arrived_ms),
-        ..plain(Some(open.header.id.clone()), code, true)
+        ..bare(Some(open.header.id.clone()), code, true)
     }
 }
 
@@ -34,12 +37,12 @@
 pub fn pending(open: &jobs::Open, now_ms: u64) -> api::Answer {
     api::Answer {
         elapsed_ms: now_ms.saturating_sub(open.header.arrived_ms),
-        ..plain(Some(open.header.id.clone()), codes::Code::Pending, false)
+        ..bare(Some(open.header.id.clone()), codes::Code::Pending, false)
     }
 }
 
 /// An answer that is all in its code.
-pub fn plain(id: Option<ids::SubmissionId>, code: codes::Code, is_final: bool) -> api::Answer {
+pub fn bare(id: Option<ids::SubmissionId>, code: codes::Code, is_final: bool) -> api::Answer {
     api::Answer {
         submission: id,
         code,
--- a/src/jobs/due.rs
+++ b/src/jobs/due.rs
@@ -27,13 +27,13 @@
 
 /// Open submissions, by the time at which something is due.
 #[derive(Debug, Default)]
-pub struct Due {
+pub struct DueIndex {
     by_deadline: collections::BTreeSet<Moment>,
     by_kind: collections::HashMap<Kind, Group>,
     given_up: collections::BTreeSet<Moment>,
 }
 
-impl Due {
+impl DueIndex {
     /// A submission was taken in.
     pub fn insert(&mut self, key: table::Key, open: &jobs::Open) {
         let moment = (open.header.deadline_ms, key);
@@ -57,8 +57,8 @@
     /// A submission is over.
     pub fn remove(&mut self, key: table::Key, open: &jobs::Open) {
         self.forget_deadline(key, open);
-        if let Some(verdict) = open.verdict() {
-            self.given_up.remove(&(verdict.at_ms, key));
+        if let Some(reason) = open.give_up_reason() {
+            self.given_up.remove(&(reason.at_ms, key));
         }
     }
 
@@ -95,7 +95,7 @@
     ///
     /// No estimate of a kind is greater than that of the greatest declaration or that
     /// of none, so what this leaves out has enough time left whatever it declared.
-    pub fn nearing(
+    pub fn near_deadline(
         &self,
         now_ms: u64,
         learned_ms: impl Fn(&SmolStr, &SmolStr, u64) -> Option<u64>,
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -115,13 +115,13 @@
     pub tasks: Vec<api::Task>,
     progress: Vec<Progress>,
     undecided: usize,
-    verdict: Option<Verdict>,
+    give_up_reason: Option<GiveUpReason>,
     lost: collections::BTreeMap<u32, Decided>,
 }
 
 /// Why a submission can't complete any more, and since when.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Verdict {
+pub struct GiveUpReason {
     /// The first reason.
     pub code: codes::Code,
     /// Monotonic milliseconds.
@@ -147,7 +147,7 @@
             tasks,
             progress,
             undecided,
-            verdict: None,
+            give_up_reason: None,
             lost: collections::BTreeMap::new(),
         }
     }
@@ -163,19 +163,19 @@
     }
 
     /// All tasks and how they stand.
-    pub fn all(&self) -> impl Iterator<Item = (u32, &Progress)> {
+    pub fn iter_progress(&self) -> impl Iterator<Item = (u32, &Progress)> {
         (0..).zip(&self.progress)
     }
 
     /// Whether the submission can't complete any more, and why.
-    pub const fn verdict(&self) -> Option<Verdict> {
-        self.verdict
+    pub const fn give_up_reason(&self) -> Option<GiveUpReason> {
+        self.give_up_reason
     }
 
     /// Gives the submission up; the first reason stands.
     pub const fn give_up(&mut self, at_ms: u64, code: codes::Code) {
-        if self.verdict.is_none() {
-            self.verdict = Some(Verdict { code, at_ms });
+        if self.give_up_reason.is_none() {
+            self.give_up_reason = Some(GiveUpReason { code, at_ms });
         }
     }
 
--- a/src/jobs/summary.rs
+++ b/src/jobs/summary.rs
@@ -72,7 +72,7 @@
         api::Answer {
             tasks: tasks.collect(),
             elapsed_ms: self.elapsed_ms,
-            ..answer::plain(id, code, true)
+            ..answer::bare(id, code, true)
         }
     }
 }
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -70,7 +70,7 @@
     epochs: window::Epochs,
     lines: slotmap::SlotMap<Key, Line>,
     names: collections::HashMap<Name, Key>,
-    due: due::Due,
+    due: due::DueIndex,
     /// Whole answers, and when they were told.
     told: collections::VecDeque<(u64, Key)>,
     paused_ms: u64,
@@ -85,7 +85,7 @@
             epochs: window::Epochs::new(now_ms),
             lines: slotmap::SlotMap::with_key(),
             names: collections::HashMap::new(),
-            due: due::Due::default(),
+            due: due::DueIndex::default(),
             told: collections::VecDeque::new(),
             paused_ms: 0,
             open: 0,
@@ -132,7 +132,7 @@
     }
 
     /// Which submissions are to be looked at again.
-    pub const fn due(&self) -> &due::Due {
+    pub const fn due(&self) -> &due::DueIndex {
         &self.due
     }
 
@@ -157,8 +157,8 @@
         let Some(Submission::Open(open)) = self.lines.get(key).map(|line| &line.submission) else {
             return;
         };
-        if let Some(verdict) = open.verdict() {
-            self.due.give_up(key, open, verdict.at_ms);
+        if let Some(reason) = open.give_up_reason() {
+            self.due.give_up(key, open, reason.at_ms);
         }
     }
 
@@ -205,7 +205,7 @@
     /// its way a second time, and would start when it finds room; its caller, who
     /// trusted the refusal, has submitted anew by then. Gives whether there was room
     /// to remember it.
-    pub fn refuse(&mut self, header: jobs::Header, answer: api::Answer) -> bool {
+    pub fn insert_refusal(&mut self, header: jobs::Header, answer: api::Answer) -> bool {
         if self.refusals >= MAX_REFUSALS {
             return false;
         }
@@ -246,19 +246,19 @@
     }
 
     /// A caller asks for the answer: it stays whole for a while longer.
-    pub fn ask(&mut self, now_ms: u64, key: Key) {
+    pub fn touch(&mut self, now_ms: u64, key: Key) {
         if let Some(line) = self.lines.get_mut(key) {
             line.told_ms = now_ms.saturating_sub(self.paused_ms);
         }
     }
 
     /// This process stood still for so long, and nobody could ask for an answer.
-    pub const fn forgive(&mut self, paused_ms: u64) {
+    pub const fn exclude_pause(&mut self, paused_ms: u64) {
         self.paused_ms += paused_ms;
     }
 
     /// Keeps only summaries of answers that nobody was told or asked for in that time.
-    pub fn shorten(&mut self, now_ms: u64, whole_ms: u64) {
+    pub fn compact(&mut self, now_ms: u64, whole_ms: u64) {
         let now_ms = now_ms.saturating_sub(self.paused_ms);
         while let Some((told_ms, key)) = self.told.front().copied() {
             if told_ms.saturating_add(whole_ms) > now_ms {
--- a/tests/unit/dispatching/callers.rs
+++ b/tests/unit/dispatching/callers.rs
@@ -203,7 +203,7 @@
     pub fn call_arrives(&mut self, passed: &Passed) {
         let (entry, call) = (passed.to_entry, passed.call.clone());
         let id = call_id(&call);
-        let gone = answer::plain(id, codes::Code::OwnerGone, true);
+        let gone = answer::bare(id, codes::Code::OwnerGone, true);
         let answer = if self.entries[entry].incarnation == passed.to {
             match self.resolve(entry, call) {
                 calls::Reply::Answer(answer) => *answer,
@@ -278,7 +278,7 @@
             passing::Passed::Declined => self.keep(entry, passed),
             passing::Passed::Unknown => {
                 let id = call_id(&passed.call);
-                let answer = answer::plain(id, codes::Code::OwnerSilent, false);
+                let answer = answer::bare(id, codes::Code::OwnerSilent, false);
                 self.told(passed.caller, answer);
             }
         }
@@ -376,6 +376,6 @@
 }
 
 fn silent(passed: &Passed, (code, is_final): (codes::Code, bool)) -> passing::Passed {
-    let answer = answer::plain(call_id(&passed.call), code, is_final);
+    let answer = answer::bare(call_id(&passed.call), code, is_final);
     passing::Passed::Answer(Box::new(answer))
 }
--- a/tests/unit/due.rs
+++ b/tests/unit/due.rs
@@ -144,16 +144,16 @@
         let learned = |task: &api::Task| self.learned.run_ms(&task.kind, task.run_ms.into());
         let longest = open.tasks.iter().filter_map(learned).max();
         let left_ms = open.header.deadline_ms.saturating_sub(self.now_ms);
-        open.verdict().is_none() && longest.is_some_and(|longest| left_ms < longest / 2)
+        open.give_up_reason().is_none() && longest.is_some_and(|longest| left_ms < longest / 2)
     }
 
     fn naive_overdue(&self) -> collections::BTreeSet<jobs::Key> {
-        self.scan(|open| open.verdict().is_none() && open.header.deadline_ms <= self.now_ms)
+        self.scan(|open| open.give_up_reason().is_none() && open.header.deadline_ms <= self.now_ms)
     }
 
     fn naive_unsettled(&self) -> collections::BTreeSet<jobs::Key> {
-        let is_due = |verdict: jobs::Verdict| verdict.at_ms + SETTLE_MS <= self.now_ms;
-        self.scan(|open| open.verdict().is_some_and(is_due))
+        let is_due = |reason: jobs::GiveUpReason| reason.at_ms + SETTLE_MS <= self.now_ms;
+        self.scan(|open| open.give_up_reason().is_some_and(is_due))
     }
 
     fn unsettled(&self) -> collections::BTreeSet<jobs::Key> {
@@ -162,14 +162,14 @@
         due.unwrap_or_default().into_iter().collect()
     }
 
-    /// What [`jobs::due::Due::nearing`] gives, of which the entry then looks at each.
+    /// What [`jobs::due::DueIndex::near_deadline`] gives, of which the entry then looks at each.
     fn nearing(&self) -> collections::BTreeSet<jobs::Key> {
         let learned_ms =
             |_: &SmolStr, kind: &SmolStr, declared_ms| self.learned.run_ms(kind, declared_ms);
         let found = self
             .table
             .due()
-            .nearing(self.now_ms, learned_ms)
+            .near_deadline(self.now_ms, learned_ms)
             .into_iter();
         let is_near = |key: &jobs::Key| {
             let open = self.table.open_at(*key);
--- a/tests/unit/entry.rs
+++ b/tests/unit/entry.rs
@@ -133,7 +133,7 @@
 }
 
 fn answer(code: codes::Code, is_final: bool) -> api::Answer {
-    jobs::answer::plain(None, code, is_final)
+    jobs::answer::bare(None, code, is_final)
 }
 
 // A submission was passed on and lies in a silent connection; its second copy is refused.
--- a/tests/unit/jobs.rs
+++ b/tests/unit/jobs.rs
@@ -169,12 +169,12 @@
     let mut table = jobs::Table::new(0);
     let answer = |header: &jobs::Header| {
         let id = Some(header.id.clone());
-        jobs::answer::plain(id, codes::Code::TeamQueueFull, true)
+        jobs::answer::bare(id, codes::Code::TeamQueueFull, true)
     };
 
     let remembered = (0..jobs::table::MAX_REFUSALS as u64 + 5)
         .map(header)
-        .filter(|header| table.refuse(header.clone(), answer(header)))
+        .filter(|header| table.insert_refusal(header.clone(), answer(header)))
         .count();
     let first = header(0);
     let is_found = table.find(&first.team, &first.id).is_some();
@@ -188,7 +188,7 @@
     assert_eq!(len, 0, "refusals take no room from submissions");
     assert_eq!(table.find(&first.team, &first.id), None);
     assert!(
-        table.refuse(first.clone(), answer(&first)),
+        table.insert_refusal(first.clone(), answer(&first)),
         "there is room again"
     );
 }
--- a/tests/unit/remembering.rs
+++ b/tests/unit/remembering.rs
@@ -243,18 +243,18 @@
             Step::End => told.push((end_one(&mut table, now_ms, told.len()), now_ms - paused_ms)),
             // What is short by then stays so.
             Step::Ask(at) if at < told.len() && is_whole(&table, told[at].0) => {
-                table.ask(now_ms, told[at].0);
+                table.touch(now_ms, told[at].0);
                 told[at].1 = now_ms - paused_ms;
             }
             Step::Pause(ms) => {
                 now_ms += ms;
                 paused_ms += ms;
-                table.forgive(ms);
+                table.exclude_pause(ms);
             }
             Step::Wait(ms) => now_ms += ms,
             Step::Ask(_) => {}
         }
-        table.shorten(now_ms, SHORT_MS);
+        table.compact(now_ms, SHORT_MS);
         for (at, (key, told_ms)) in told.iter().enumerate() {
             let known = table.get(*key).expect("all are remembered");
             let age_ms = now_ms - paused_ms - told_ms;
@@ -264,8 +264,8 @@
         }
     }
     let end_ms = now_ms + 2 * SHORT_MS;
-    table.shorten(now_ms + SHORT_MS, SHORT_MS);
-    table.shorten(end_ms, SHORT_MS);
+    table.compact(now_ms + SHORT_MS, SHORT_MS);
+    table.compact(end_ms, SHORT_MS);
     let is_short = |(key, _): &(jobs::Key, u64)| {
         matches!(table.get(*key), Some(table::Submission::Summary(_)))
     };
