--- a/src/claims/log.rs
+++ b/src/claims/log.rs
@@ -37,7 +37,7 @@
 /// How much longer than that an answer may take.
 const GRACE: time::Duration = time::Duration::from_secs(1);
 /// Longest wait for the answer to an append.
-const APPEND_LIMIT: time::Duration = time::Duration::from_millis(claims::CLAIM_LIMIT_MS);
+const APPEND_LIMIT: time::Duration = time::Duration::from_millis(claims::CLAIM_TIMEOUT_MS);
 
 /// Appends a record on a connection of its own.
 pub fn append(
@@ -119,7 +119,7 @@
         Ok(record) => Some(record),
         Err(e) => {
             log::warn!(event = "claims.bad_record"; "{e}");
-            Some(claims::Record::nothing())
+            Some(claims::Record::empty())
         }
     }
 }
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -24,16 +24,16 @@
 
 /// Longest wait for a claim to be read back, in milliseconds: a log that is slow
 /// but works answers an append and a read well within it.
-pub const CLAIM_LIMIT_MS: u64 = 2_000;
+pub const CLAIM_TIMEOUT_MS: u64 = 2_000;
 
 /// Most claims in one record; with the longest names this stays under 300 KiB.
-pub const MAX_PER_RECORD: usize = 1_000;
+pub const MAX_CLAIMS_PER_RECORD: usize = 1_000;
 
 /// Most ids remembered, some 20 MB with names of usual length.
-pub const MAX_LINES: usize = 100_000;
+pub const MAX_IDS: usize = 100_000;
 
 /// An id belongs to one team, as with tickets.
-pub type Name = (SmolStr, SmolStr);
+pub type ScopedId = (SmolStr, SmolStr);
 
 /// One life of one entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -54,12 +54,12 @@
     /// Who claims.
     pub claimer: Claimer,
     /// What, in the order in which the calls came.
-    pub claims: Vec<Name>,
+    pub claims: Vec<ScopedId>,
 }
 
 impl Record {
     /// A record that claims nothing.
-    pub fn nothing() -> Self {
+    pub fn empty() -> Self {
         let claimer = Claimer {
             entry: SmolStr::default(),
             incarnation: ids::Incarnation(0),
@@ -83,7 +83,7 @@
 
 /// How an id stands, as far as the stream was read.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum ClaimState {
     /// No claim was read, and none is under way here.
     Unclaimed,
     /// A claim of this life is under way.
@@ -114,9 +114,9 @@
 #[derive(Debug)]
 pub struct Table {
     me: Claimer,
-    lines: collections::HashMap<Name, Line>,
-    pending: collections::BTreeMap<Name, u64>,
-    unsent: collections::VecDeque<Name>,
+    lines: collections::HashMap<ScopedId, Line>,
+    pending: collections::BTreeMap<ScopedId, u64>,
+    unsent: collections::VecDeque<ScopedId>,
     is_appending: bool,
     is_reachable: bool,
     first: u64,
@@ -156,22 +156,22 @@
     }
 
     /// How an id stands.
-    pub fn standing(&self, name: &Name) -> Standing {
+    pub fn state(&self, name: &ScopedId) -> ClaimState {
         if self.pending.contains_key(name) {
-            return Standing::Pending;
+            return ClaimState::Pending;
         }
         let Some(line) = self.lines.get(name) else {
-            return Standing::Unclaimed;
+            return ClaimState::Unclaimed;
         };
         match &line.owner {
-            Some(owner) if *owner != self.me => Standing::Other(owner.clone()),
-            owner if line.is_barred => Standing::Barred {
+            Some(owner) if *owner != self.me => ClaimState::Other(owner.clone()),
+            owner if line.is_barred => ClaimState::Barred {
                 is_mine: owner.is_some(),
             },
-            Some(_) => Standing::Mine {
+            Some(_) => ClaimState::Mine {
                 is_used: line.is_used,
             },
-            None => Standing::Unclaimed,
+            None => ClaimState::Unclaimed,
         }
     }
 
@@ -180,12 +180,12 @@
     /// Nothing is begun while the log does not answer, so that refusing costs no
     /// wait, nor while claims that were read could not all be remembered: the id
     /// might be among them.
-    pub fn claim(&mut self, now_ms: u64, name: Name) -> bool {
-        let is_full = self.lines.len() + self.pending.len() >= MAX_LINES;
+    pub fn claim(&mut self, now_ms: u64, name: ScopedId) -> bool {
+        let is_full = self.lines.len() + self.pending.len() >= MAX_IDS;
         if !self.is_reachable || is_full || self.overflow_at.is_some() {
             return false;
         }
-        let until_ms = now_ms.saturating_add(CLAIM_LIMIT_MS);
+        let until_ms = now_ms.saturating_add(CLAIM_TIMEOUT_MS);
         self.pending.insert(name.clone(), until_ms);
         self.unsent.push_back(name);
         true
@@ -197,7 +197,7 @@
             return None;
         }
         self.is_appending = true;
-        let count = self.unsent.len().min(MAX_PER_RECORD);
+        let count = self.unsent.len().min(MAX_CLAIMS_PER_RECORD);
         Some(Record {
             version: VERSION,
             claimer: self.me.clone(),
@@ -207,18 +207,18 @@
 
     /// The append under way ended. Its answer proves nothing: a lost one may have
     /// taken effect, so the claims in it stay pending until they are read back.
-    pub const fn appended(&mut self) {
+    pub const fn append_ended(&mut self) {
         self.is_appending = false;
     }
 
     /// A read of the stream failed.
-    pub const fn unreachable(&mut self) {
+    pub const fn mark_unreachable(&mut self) {
         self.is_reachable = false;
     }
 
     /// Takes in a read of the stream from [`Table::position`] on; gives the ids whose
     /// claims were settled by it.
-    pub fn take(&mut self, now_ms: u64, page: &Page) -> Vec<Name> {
+    pub fn apply(&mut self, now_ms: u64, page: &Page) -> Vec<ScopedId> {
         let mut settled = self.forget_expired(page.first);
         self.is_reachable = true;
         for (offset, record) in &page.records {
@@ -237,9 +237,15 @@
         settled
     }
 
-    fn take_claim(&mut self, now: u64, offset: u64, by: &Claimer, name: &Name) -> Vec<Name> {
+    fn take_claim(
+        &mut self,
+        now: u64,
+        offset: u64,
+        by: &Claimer,
+        name: &ScopedId,
+    ) -> Vec<ScopedId> {
         let is_known = self.lines.contains_key(name);
-        if !is_known && self.lines.len() >= MAX_LINES {
+        if !is_known && self.lines.len() >= MAX_IDS {
             return self.overflow(offset);
         }
         let is_mine = *by == self.me;
@@ -264,7 +270,7 @@
 
     /// Claims were read that can't be remembered: an id claimed from now on could be
     /// one of them, so nothing is claimed until the log has dropped them as well.
-    fn overflow(&mut self, offset: u64) -> Vec<Name> {
+    fn overflow(&mut self, offset: u64) -> Vec<ScopedId> {
         self.overflow_at = Some(offset);
         self.bar_pending(|_| true)
     }
@@ -273,13 +279,13 @@
     ///
     /// The append may have taken effect and show up later, even as the first. The
     /// caller was told "not run" by then, so this life never starts it.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<Name> {
+    pub fn expire(&mut self, now_ms: u64) -> Vec<ScopedId> {
         self.bar_pending(|until_ms| until_ms <= now_ms)
     }
 
-    fn bar_pending(&mut self, is_over: impl Fn(u64) -> bool) -> Vec<Name> {
+    fn bar_pending(&mut self, is_over: impl Fn(u64) -> bool) -> Vec<ScopedId> {
         let over = self.pending.iter().filter(|(_, until)| is_over(**until));
-        let over: Vec<Name> = over.map(|(name, _)| name.clone()).collect();
+        let over: Vec<ScopedId> = over.map(|(name, _)| name.clone()).collect();
         for name in &over {
             self.pending.remove(name);
             self.unsent.retain(|unsent| unsent != name);
@@ -288,7 +294,7 @@
         over
     }
 
-    fn bar(&mut self, name: &Name) {
+    fn bar(&mut self, name: &ScopedId) {
         let offset = self.position;
         let line = self.lines.entry(name.clone()).or_insert(Line {
             owner: None,
@@ -300,7 +306,7 @@
     }
 
     /// The submission of an id that this life owns has come.
-    pub fn set_used(&mut self, name: &Name) {
+    pub fn mark_used(&mut self, name: &ScopedId) {
         if let Some(line) = self.lines.get_mut(name) {
             line.is_used = true;
         }
@@ -309,7 +315,7 @@
     /// The log has dropped what stands before `first`: no entry can read it any
     /// more. Records that this life has not read may have held claims on what is
     /// pending, which is given up.
-    fn forget_expired(&mut self, first: u64) -> Vec<Name> {
+    fn forget_expired(&mut self, first: u64) -> Vec<ScopedId> {
         let mut settled = Vec::new();
         if first > self.position {
             self.position = first;
--- a/src/claims/pace.rs
+++ b/src/claims/pace.rs
@@ -26,7 +26,7 @@
     }
 
     /// An append begins, beside so many entries in all.
-    pub const fn began(&mut self, now_ms: u64, entries: u64) {
+    pub const fn append_started(&mut self, now_ms: u64, entries: u64) {
         let pause_ms = entries
             .saturating_sub(FREE_ENTRIES)
             .saturating_mul(PAUSE_MS);
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -40,7 +40,7 @@
         ticket: Option<ids::SubmissionId>,
     },
     /// Its claim is under way; look again at [`core::Action::ClaimSettled`].
-    Claiming(claims::Name),
+    Claiming(claims::ScopedId),
 }
 
 impl Reply {
@@ -73,8 +73,8 @@
         if_silent: (codes::Code, bool),
     },
     Unknown(codes::Code, bool),
-    Unclaimed(claims::Name),
-    Claiming(claims::Name),
+    Unclaimed(claims::ScopedId),
+    Claiming(claims::ScopedId),
 }
 
 impl core::Core {
@@ -148,7 +148,7 @@
     fn begin_claim(
         &mut self,
         now_ms: u64,
-        name: claims::Name,
+        name: claims::ScopedId,
         id: ids::SubmissionId,
     ) -> (Reply, Vec<core::Action>) {
         if self.is_leaving || !self.claims.claim(now_ms, name.clone()) {
@@ -186,7 +186,7 @@
             return (Reply::Answer(Box::new(refusal)), Vec::new());
         }
         if let Some(name) = claiming::claim_name(team, &header.id) {
-            self.claims.set_used(&name);
+            self.claims.mark_used(&name);
         }
         self.counts.accepted += 1;
         let policy = &self.settings.policy;
@@ -260,7 +260,7 @@
     /// forgotten: the truth is "may have run".
     pub(crate) fn past_use(&self, team: &SmolStr, id: &ids::SubmissionId) -> Option<codes::Code> {
         let ids::SubmissionId::Ticket(ticket) = id else {
-            let used = claims::Standing::Mine { is_used: true };
+            let used = claims::ClaimState::Mine { is_used: true };
             let is_used = self.standing(team, id) == Some(used);
             return is_used.then_some(codes::Code::AnswerExpired);
         };
@@ -340,14 +340,14 @@
                 ids::SubmissionId::Own(_) => Owner::Unknown(codes::Code::BadTicket, true),
             };
         };
-        match self.claims.standing(&name) {
-            claims::Standing::Unclaimed => Owner::Unclaimed(name),
-            claims::Standing::Pending => Owner::Claiming(name),
-            claims::Standing::Mine { .. } => Owner::Here,
-            claims::Standing::Barred { is_mine } => {
+        match self.claims.state(&name) {
+            claims::ClaimState::Unclaimed => Owner::Unclaimed(name),
+            claims::ClaimState::Pending => Owner::Claiming(name),
+            claims::ClaimState::Mine { .. } => Owner::Here,
+            claims::ClaimState::Barred { is_mine } => {
                 Owner::Unknown(codes::Code::ClaimUnavailable, is_mine)
             }
-            claims::Standing::Other(by) => self.holder(now_ms, &by.entry, by.incarnation),
+            claims::ClaimState::Other(by) => self.holder(now_ms, &by.entry, by.incarnation),
         }
     }
 
--- a/src/entry/claim_calls.rs
+++ b/src/entry/claim_calls.rs
@@ -33,7 +33,7 @@
     pub(super) fn call_again(
         &mut self,
         cx: &actix::Context<Self>,
-        name: claims::Name,
+        name: claims::ScopedId,
         message: messages::CallerCall,
     ) -> actix::ResponseFuture<messages::Resolution> {
         let (tx, rx) = oneshot::channel();
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -22,10 +22,10 @@
     pub fn claims_read(&mut self, now_ms: u64, page: Option<&claims::Page>) -> Vec<core::Action> {
         let mut actions = self.wake(now_ms);
         if let Some(page) = page {
-            let settled = self.claims.take(now_ms, page);
+            let settled = self.claims.apply(now_ms, page);
             actions.extend(settled.into_iter().map(core::Action::ClaimSettled));
         } else {
-            self.claims.unreachable();
+            self.claims.mark_unreachable();
         }
         actions.extend(self.append_claims(now_ms));
         actions
@@ -33,7 +33,7 @@
 
     /// An append of claims ended.
     pub fn claims_appended(&mut self, now_ms: u64) -> Vec<core::Action> {
-        self.claims.appended();
+        self.claims.append_ended();
         self.append_claims(now_ms).into_iter().collect()
     }
 
@@ -43,7 +43,7 @@
         }
         let record = self.claims.next_record()?;
         let entries = self.live_entries(now_ms).len() as u64 + 1;
-        self.claim_pace.began(now_ms, entries);
+        self.claim_pace.append_started(now_ms, entries);
         Some(core::Action::AppendClaims(record))
     }
 
@@ -60,7 +60,7 @@
         id: ids::SubmissionId,
     ) -> api::Answer {
         let standing = self.standing(team, &id);
-        let is_final = standing == Some(claims::Standing::Barred { is_mine: true });
+        let is_final = standing == Some(claims::ClaimState::Barred { is_mine: true });
         self.counts.refused += 1;
         api::Answer {
             retry_after_ms: Some(CLAIM_RETRY_MS),
@@ -74,14 +74,14 @@
         &self,
         team: &SmolStr,
         id: &ids::SubmissionId,
-    ) -> Option<claims::Standing> {
+    ) -> Option<claims::ClaimState> {
         let name = claim_name(team, id)?;
-        Some(self.claims.standing(&name))
+        Some(self.claims.state(&name))
     }
 }
 
 /// The name under which an own id is claimed.
-pub(crate) fn claim_name(team: &SmolStr, id: &ids::SubmissionId) -> Option<claims::Name> {
+pub(crate) fn claim_name(team: &SmolStr, id: &ids::SubmissionId) -> Option<claims::ScopedId> {
     match id {
         ids::SubmissionId::Own(text) => Some((team.clone(), text.clone())),
         ids::SubmissionId::Ticket(_) => None,
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -57,7 +57,7 @@
     pub(super) keeper: keeper::Keeper,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<jobs::Key, Vec<Waiter>>,
-    pub(super) claim_waiters: collections::HashMap<claims::Name, Vec<oneshot::Sender<()>>>,
+    pub(super) claim_waiters: collections::HashMap<claims::ScopedId, Vec<oneshot::Sender<()>>>,
     pub(super) parts: Parts,
     pub(super) left_ms: Option<u64>,
     pub(super) is_published: bool,
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -58,7 +58,7 @@
     /// Append this to the log's stream of claims and report when that ended.
     AppendClaims(claims::Record),
     /// Have the calls about this id looked at again.
-    ClaimSettled(claims::Name),
+    ClaimSettled(claims::ScopedId),
 }
 
 /// An attempt that was handed to a runner and is not settled.
--- a/tests/unit/claims.rs
+++ b/tests/unit/claims.rs
@@ -49,7 +49,7 @@
     ]
 }
 
-fn name(id: usize) -> claims::Name {
+fn name(id: usize) -> claims::ScopedId {
     ("escola".into(), SmolStr::from(format!("id-{id}")))
 }
 
@@ -65,7 +65,7 @@
     late: Vec<claims::Record>,
     tables: Vec<claims::Table>,
     me: Vec<claims::Claimer>,
-    refused: Vec<(claims::Claimer, claims::Name)>,
+    refused: Vec<(claims::Claimer, claims::ScopedId)>,
     lives: u64,
     now_ms: u64,
 }
@@ -75,7 +75,7 @@
         let me: Vec<_> = (0..ENTRIES).map(|entry| claimer(entry, 0)).collect();
         let mut tables: Vec<_> = me.iter().cloned().map(claims::Table::new).collect();
         for table in &mut tables {
-            table.take(0, &claims::Page::default());
+            table.apply(0, &claims::Page::default());
         }
         Self {
             log: Vec::new(),
@@ -91,7 +91,7 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Claim(entry, id) => {
-                if self.tables[entry].standing(&name(id)) == claims::Standing::Unclaimed {
+                if self.tables[entry].state(&name(id)) == claims::ClaimState::Unclaimed {
                     self.tables[entry].claim(self.now_ms, name(id));
                 }
             }
@@ -102,7 +102,7 @@
                         Fate::Later => self.late.push(record),
                         Fate::Never => {}
                     }
-                    self.tables[entry].appended();
+                    self.tables[entry].append_ended();
                 }
             }
             Step::Late => self.log.extend(self.late.pop()),
@@ -119,7 +119,7 @@
                 self.lives += 1;
                 self.me[entry] = claimer(entry, self.lives);
                 self.tables[entry] = claims::Table::new(self.me[entry].clone());
-                self.tables[entry].take(self.now_ms, &claims::Page::default());
+                self.tables[entry].apply(self.now_ms, &claims::Page::default());
             }
         }
     }
@@ -135,11 +135,11 @@
                 .map(|(offset, record)| (offset as u64, Some(record.clone())))
                 .collect(),
         };
-        self.tables[entry].take(self.now_ms, &page);
+        self.tables[entry].apply(self.now_ms, &page);
     }
 
     /// The first claim on an id, by replaying the whole log.
-    fn owner(&self, name: &claims::Name) -> Option<&claims::Claimer> {
+    fn owner(&self, name: &claims::ScopedId) -> Option<&claims::Claimer> {
         let first = self.log.iter().find(|record| record.claims.contains(name));
         first.map(|record| &record.claimer)
     }
@@ -147,14 +147,14 @@
     fn check(&self) -> Result<(), test_runner::TestCaseError> {
         for id in (0..4).map(name) {
             for (table, me) in self.tables.iter().zip(&self.me) {
-                match table.standing(&id) {
-                    claims::Standing::Mine { .. } => {
+                match table.state(&id) {
+                    claims::ClaimState::Mine { .. } => {
                         prop_assert_eq!(self.owner(&id), Some(me), "started by who is not first");
                         let refusal = (me.clone(), id.clone());
                         prop_assert!(!self.refused.contains(&refusal), "started after 'not run'");
                     }
-                    claims::Standing::Other(by) => prop_assert_eq!(self.owner(&id), Some(&by)),
-                    claims::Standing::Barred { is_mine: true } => {
+                    claims::ClaimState::Other(by) => prop_assert_eq!(self.owner(&id), Some(&by)),
+                    claims::ClaimState::Barred { is_mine: true } => {
                         prop_assert_eq!(self.owner(&id), Some(me));
                     }
                     _ => {}
@@ -186,10 +186,10 @@
         for id in (0..4).map(name) {
             let is_claimed = world.owner(&id).is_some();
             let knows = |table: &claims::Table| {
-                let standing = table.standing(&id);
+                let standing = table.state(&id);
                 let is_open = matches!(
                     standing,
-                    claims::Standing::Unclaimed | claims::Standing::Barred { is_mine: false }
+                    claims::ClaimState::Unclaimed | claims::ClaimState::Barred { is_mine: false }
                 );
                 !is_claimed || !is_open
             };
@@ -204,18 +204,18 @@
 #[test]
 fn records_that_expired_unread_bar_what_is_pending() {
     let mut table = claims::Table::new(claimer(0, 0));
-    table.take(0, &claims::Page::default());
+    table.apply(0, &claims::Page::default());
     table.claim(0, name(0));
 
     let page = claims::Page {
         first: 5,
         records: Vec::new(),
     };
-    let settled = table.take(1, &page);
+    let settled = table.apply(1, &page);
 
     assert_eq!(settled, vec![name(0)]);
-    let barred = claims::Standing::Barred { is_mine: false };
-    assert_eq!(table.standing(&name(0)), barred);
+    let barred = claims::ClaimState::Barred { is_mine: false };
+    assert_eq!(table.state(&name(0)), barred);
 }
 
 #[test]
@@ -230,13 +230,13 @@
         })
     };
     let records = (0..10).map(|at| (at as u64, record(at))).collect();
-    table.take(0, &claims::Page { first: 0, records });
+    table.apply(0, &claims::Page { first: 0, records });
 
     let page = claims::Page {
         first: 8,
         records: Vec::new(),
     };
-    table.take(1, &page);
+    table.apply(1, &page);
 
     assert_eq!(table.len(), 2);
 }
@@ -244,11 +244,11 @@
 #[test]
 fn nothing_is_claimed_while_the_log_is_silent() {
     let mut table = claims::Table::new(claimer(0, 0));
-    table.take(0, &claims::Page::default());
-    table.unreachable();
+    table.apply(0, &claims::Page::default());
+    table.mark_unreachable();
 
     let is_begun = table.claim(0, name(0));
 
     assert!(!is_begun);
-    assert_eq!(table.standing(&name(0)), claims::Standing::Unclaimed);
+    assert_eq!(table.state(&name(0)), claims::ClaimState::Unclaimed);
 }
