--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -176,7 +176,7 @@
         let Some(flight) = self.take(number) else {
             return Vec::new();
         };
-        self.queue.recharge(flight.team, flight.expected_ms, 0);
+        self.queue.adjust_charge(flight.team, flight.expected_ms, 0);
         self.close(now_ms, flight.runner, code);
         let Some(open) = self.jobs.open_mut(flight.task.submission) else {
             return Vec::new();
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -129,7 +129,7 @@
         if matches!(code, codes::Code::NeverFits | codes::Code::OverQuota) {
             return None;
         }
-        let key = self.queue.team(team);
+        let key = self.queue.team_key(team);
         let allowed = f64::from(self.settings.policy.max_queue_wait_ms);
         let allowed = allowed.min(asked.deadline_ms as f64);
         let excess_ms = view.wait_ms(0) - allowed;
@@ -149,19 +149,19 @@
         let name = open.header.team.clone();
         let expected = |task| {
             let estimate = self.estimate(&name, task);
-            order::Expected {
+            order::TaskEstimate {
                 run_ms: estimate.run_ms,
                 error_ms: estimate.error_ms,
             }
         };
         let expected: Vec<_> = open.tasks.iter().map(expected).collect();
-        let shape = order::Shape {
+        let shape = order::JobEstimate {
             longest_ms: order::longest_ms(&expected),
             work_ms: expected.iter().map(|one| one.run_ms).sum(),
             slots: slots_whole(self.drain.slots()),
         };
         let age_ms = u64::from(self.settings.policy.age_ms);
-        let team = self.queue.team(&name);
+        let team = self.queue.team_key(&name);
         let runs = expected.iter().map(|one| one.run_ms);
         for (index, expected_ms) in (0..).zip(runs) {
             self.queue.push(queue::Item {
@@ -240,7 +240,7 @@
         };
         let (team, expected_ms) = (flight.team, flight.expected_ms);
         self.drain.done(expected_ms);
-        self.queue.recharge(team, expected_ms, run_ms.max(1));
+        self.queue.adjust_charge(team, expected_ms, run_ms.max(1));
         // A task that failed or was stopped tells nothing of how long such tasks take:
         // a server that fails everything at once would teach that all are short.
         if code != codes::Code::Complete {
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -41,7 +41,7 @@
                     actions.push(action);
                 }
                 Placed::Ended(more) => {
-                    self.queue.unused(&item);
+                    self.queue.refund(&item);
                     actions.extend(more);
                 }
                 Placed::Waits => passed_over.push(item),
@@ -51,7 +51,7 @@
             }
         }
         for item in passed_over.into_iter().rev() {
-            self.queue.undo(item);
+            self.queue.put_back(item);
         }
         actions
     }
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -64,7 +64,7 @@
     }
 
     /// The key of a team.
-    pub fn team(&mut self, name: &SmolStr) -> TeamKey {
+    pub fn team_key(&mut self, name: &SmolStr) -> TeamKey {
         self.teams.key(name)
     }
 
@@ -92,7 +92,7 @@
     pub fn push(&mut self, item: Item) {
         let team = self.teams.get(item.team);
         if team.is_some_and(|team| team.waiting == 0) {
-            self.teams.begin_again(item.team);
+            self.teams.raise_tag(item.team);
         }
         self.insert(item);
     }
@@ -125,7 +125,7 @@
     /// Takes the task whose turn it is and counts it as running; `None` when nothing
     /// waits but tasks of teams at their quota.
     ///
-    /// What becomes of it is told by [`Self::undo`], or by [`Self::started`] and
+    /// What becomes of it is told by [`Self::put_back`], or by [`Self::started`] and
     /// later [`Self::released`].
     pub fn pop(&mut self) -> Option<Item> {
         let team = self.teams.next()?;
@@ -136,15 +136,15 @@
     }
 
     /// Puts back a task just popped, as if it had not been.
-    pub fn undo(&mut self, item: Item) {
-        self.unused(&item);
+    pub fn put_back(&mut self, item: Item) {
+        self.refund(&item);
         self.insert(item);
     }
 
     /// A popped task will not run: its team gets back what it was charged.
-    pub fn unused(&mut self, item: &Item) {
+    pub fn refund(&mut self, item: &Item) {
         self.teams.released(item.team);
-        self.teams.recharge(item.team, item.expected_ms, 0);
+        self.teams.adjust_charge(item.team, item.expected_ms, 0);
     }
 
     /// A popped task was handed out.
@@ -160,13 +160,13 @@
         let was_at_quota = self.teams.get(team).is_some_and(share::Team::is_at_quota);
         self.teams.released(team);
         if was_at_quota {
-            self.teams.begin_again(team);
+            self.teams.raise_tag(team);
         }
     }
 
     /// A task took another time than its team was charged for; 0 if it did not run.
-    pub fn recharge(&mut self, team: TeamKey, charged_ms: u64, real_ms: u64) {
-        self.teams.recharge(team, charged_ms, real_ms);
+    pub fn adjust_charge(&mut self, team: TeamKey, charged_ms: u64, real_ms: u64) {
+        self.teams.adjust_charge(team, charged_ms, real_ms);
     }
 
     /// Takes out all tasks of a submission.
--- a/src/queue/order.rs
+++ b/src/queue/order.rs
@@ -20,7 +20,7 @@
 
 /// What a task is expected to take, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Expected {
+pub struct TaskEstimate {
     /// Its run time.
     pub run_ms: u64,
     /// How far single run times lie from it in the mean.
@@ -33,7 +33,7 @@
 /// the same, but the longest of twenty takes far longer than a single one. Without this
 /// the jobs of few tasks, which are answered sooner, would not go before large ones:
 /// p99 over ideal with nothing declared is 1.48 in place of 1.33 at 0.7 load.
-pub fn longest_ms(expected: &[Expected]) -> u64 {
+pub fn longest_ms(expected: &[TaskEstimate]) -> u64 {
     let Some(longest) = expected.iter().max_by_key(|one| one.run_ms) else {
         return 0;
     };
@@ -45,7 +45,7 @@
 
 /// What a job is expected to take.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Shape {
+pub struct JobEstimate {
     /// Its longest task, in milliseconds.
     pub longest_ms: u64,
     /// All its tasks together, in milliseconds.
@@ -54,7 +54,7 @@
     pub slots: u64,
 }
 
-impl Shape {
+impl JobEstimate {
     /// The least time in which the job can be answered, in milliseconds.
     pub fn ideal_ms(&self) -> u64 {
         self.longest_ms.max(self.work_ms / self.slots.max(1))
@@ -66,8 +66,8 @@
 /// Ageing is the bound `age_ms` on the distance from arrival: tasks that come later
 /// than `age_ms` after a long one have a greater rank, however short they are, so
 /// the long one can't starve. An `age_ms` of 0 is first come, first served.
-pub fn rank_ms(arrived_ms: u64, shape: &Shape, expected_ms: u64, age_ms: u64) -> u64 {
-    let target = shape.ideal_ms().saturating_mul(STRETCH_PERCENT) / 100;
+pub fn rank_ms(arrived_ms: u64, job: &JobEstimate, expected_ms: u64, age_ms: u64) -> u64 {
+    let target = job.ideal_ms().saturating_mul(STRETCH_PERCENT) / 100;
     let slack = target.saturating_sub(expected_ms);
     arrived_ms.saturating_add(slack.min(age_ms))
 }
--- a/src/queue/share.rs
+++ b/src/queue/share.rs
@@ -127,7 +127,7 @@
 
     /// A team had nothing that it was kept from handing out: it begins again at the
     /// virtual time, and what it did not use is not owed.
-    pub(super) fn begin_again(&mut self, key: TeamKey) {
+    pub(super) fn raise_tag(&mut self, key: TeamKey) {
         let virtual_time = self.virtual_time;
         if let Some(team) = self.teams.get_mut(key) {
             team.tag = team.tag.max(virtual_time);
@@ -176,7 +176,7 @@
         self.refresh(key);
     }
 
-    pub(super) fn recharge(&mut self, key: TeamKey, charged_ms: u64, real_ms: u64) {
+    pub(super) fn adjust_charge(&mut self, key: TeamKey, charged_ms: u64, real_ms: u64) {
         if let Some(team) = self.teams.get_mut(key) {
             let real = if real_ms == 0 { 0 } else { team.cost(real_ms) };
             team.tag = team.tag.saturating_add(real);
--- a/src/runner/core.rs
+++ b/src/runner/core.rs
@@ -233,7 +233,7 @@
     }
 
     fn settle_unstarted(&mut self, attempt: ids::Attempt, code: codes::Code) -> Action {
-        self.ledger.set(attempt, starts::Entry::Barred(code));
+        self.ledger.set(attempt, starts::AttemptState::Barred(code));
         not_started(attempt, code)
     }
 
@@ -259,7 +259,7 @@
     }
 
     fn start(&mut self, now_ms: u64, dispatch: wire::Dispatch) -> Action {
-        let entry = starts::Entry::Running { since_ms: now_ms };
+        let entry = starts::AttemptState::Running { since_ms: now_ms };
         self.ledger.set(dispatch.attempt, entry);
         self.used = self.used.plus(&dispatch.resources);
         let running = Running {
@@ -311,7 +311,7 @@
             peak,
         };
         self.ledger
-            .set(attempt, starts::Entry::Ended(outcome.clone()));
+            .set(attempt, starts::AttemptState::Ended(outcome.clone()));
         Action::Answer(attempt, outcome)
     }
 
@@ -341,11 +341,11 @@
     ) -> Option<wire::Outcome> {
         match self.ledger.get(attempt) {
             None if fence.bar => self.ledger.bar(attempt),
-            Some(starts::Entry::Parked) if fence.bar => {
+            Some(starts::AttemptState::Parked) if fence.bar => {
                 self.parked.remove_attempt(attempt);
                 actions.push(self.settle_unstarted(attempt, codes::Code::Fenced));
             }
-            Some(starts::Entry::Running { .. }) if fence.stop => {
+            Some(starts::AttemptState::Running { .. }) if fence.stop => {
                 actions.extend(self.stop(attempt, codes::Code::Cancelled));
             }
             _ => {}
--- a/src/starts/mod.rs
+++ b/src/starts/mod.rs
@@ -16,7 +16,7 @@
 
 /// How an attempt stands in the ledger.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Entry {
+pub enum AttemptState {
     /// Never to be started.
     Barred(codes::Code),
     /// Accepted, and waiting for a slot.
@@ -30,7 +30,7 @@
     Ended(wire::Outcome),
 }
 
-impl Entry {
+impl AttemptState {
     /// The same in the words of the wire.
     pub fn outcome(&self, now_ms: u64) -> wire::Outcome {
         match self {
@@ -50,9 +50,9 @@
 }
 
 #[derive(Debug)]
-struct Line {
+struct Record {
     tag: u64,
-    entry: Entry,
+    state: AttemptState,
 }
 
 /// What became of a dispatch at the door.
@@ -61,7 +61,7 @@
     /// New: it now stands as parked.
     New,
     /// The same attempt came before and stands like this.
-    Known(Entry),
+    Known(AttemptState),
     /// Refused for good; it will not start under this attempt.
     Refused(codes::Code),
 }
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Ledger {
     epochs: window::Epochs,
-    lines: collections::HashMap<ids::Attempt, Line>,
+    records: collections::HashMap<ids::Attempt, Record>,
 }
 
 impl Ledger {
@@ -78,7 +78,7 @@
     pub fn new(now_ms: u64) -> Self {
         Self {
             epochs: window::Epochs::new(now_ms),
-            lines: collections::HashMap::new(),
+            records: collections::HashMap::new(),
         }
     }
 
@@ -89,12 +89,12 @@
 
     /// How many attempts are remembered.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.records.len()
     }
 
     /// Whether nothing is remembered.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.records.is_empty()
     }
 
     /// Takes in a dispatch, unless it came before, was barred or is too old to know.
@@ -103,22 +103,22 @@
     /// way or in a frozen entry: its attempt could have been barred, and the bar
     /// forgotten, in the meantime.
     pub fn admit(&mut self, attempt: ids::Attempt, epoch: u64) -> Admission {
-        if let Some(line) = self.lines.get(&attempt) {
-            return Admission::Known(line.entry.clone());
+        if let Some(record) = self.records.get(&attempt) {
+            return Admission::Known(record.state.clone());
         }
         if !self.epochs.contains(epoch) {
             return Admission::Refused(codes::Code::StaleDispatch);
         }
-        if self.lines.len() >= MAX_RECORDS {
+        if self.records.len() >= MAX_RECORDS {
             return Admission::Refused(codes::Code::RunnerFull);
         }
-        self.set(attempt, Entry::Parked);
+        self.set(attempt, AttemptState::Parked);
         Admission::New
     }
 
     /// Says how an attempt stands.
-    pub fn get(&self, attempt: ids::Attempt) -> Option<&Entry> {
-        self.lines.get(&attempt).map(|line| &line.entry)
+    pub fn get(&self, attempt: ids::Attempt) -> Option<&AttemptState> {
+        self.records.get(&attempt).map(|record| &record.state)
     }
 
     /// Promises that an attempt never heard of will never start.
@@ -126,15 +126,15 @@
     /// Without room to remember the promise none is given: the attempt then stays
     /// unknown, and the asker asks again.
     pub fn bar(&mut self, attempt: ids::Attempt) {
-        if self.lines.len() < MAX_RECORDS {
-            self.set(attempt, Entry::Barred(codes::Code::Fenced));
+        if self.records.len() < MAX_RECORDS {
+            self.set(attempt, AttemptState::Barred(codes::Code::Fenced));
         }
     }
 
     /// Writes how an attempt stands now.
-    pub fn set(&mut self, attempt: ids::Attempt, entry: Entry) {
+    pub fn set(&mut self, attempt: ids::Attempt, state: AttemptState) {
         let tag = self.epochs.current();
-        self.lines.insert(attempt, Line { tag, entry });
+        self.records.insert(attempt, Record { tag, state });
     }
 
     /// Begins another epoch when it is time, and forgets what may be forgotten.
@@ -144,8 +144,8 @@
     pub fn advance(&mut self, now_ms: u64, retain_ms: u64) {
         if self.epochs.advance(now_ms, retain_ms) {
             let epochs = self.epochs;
-            self.lines
-                .retain(|_, line| !line.entry.is_settled() || epochs.contains(line.tag));
+            self.records
+                .retain(|_, record| !record.state.is_settled() || epochs.contains(record.tag));
         }
     }
 }
--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -134,8 +134,8 @@
 #[test]
 fn the_refused_are_told_to_come_back_one_after_another() {
     let mut queue = queue::Queue::default();
-    let hot = queue.team(&SmolStr::new("hot"));
-    let other = queue.team(&SmolStr::new("other"));
+    let hot = queue.team_key(&SmolStr::new("hot"));
+    let other = queue.team_key(&SmolStr::new("other"));
     let mut returning = returning::Returning::default();
 
     let mut after = |team| returning.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
@@ -150,7 +150,7 @@
 #[test]
 fn the_refused_are_forgotten_as_their_work_drains() {
     let mut queue = queue::Queue::default();
-    let team = queue.team(&SmolStr::new("hot"));
+    let team = queue.team_key(&SmolStr::new("hot"));
     let mut returning = returning::Returning::default();
     for _ in 0..5 {
         returning.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
--- a/tests/unit/answers.rs
+++ b/tests/unit/answers.rs
@@ -361,7 +361,7 @@
         Ok(())
     }
 
-    fn call_again(&mut self, claimed: &claims::Name) -> Result<(), TestCaseError> {
+    fn call_again(&mut self, claimed: &claims::ScopedId) -> Result<(), TestCaseError> {
         let waiting = std::mem::take(&mut self.waiting);
         let is_of = |name: Name| {
             let is_team = Self::team(name) == claimed.0;
--- a/tests/unit/order.rs
+++ b/tests/unit/order.rs
@@ -26,11 +26,11 @@
     clippy::cast_sign_loss,
     reason = "run times are small and not negative"
 )]
-fn learned(run: fn(&mut rand_chacha::ChaCha8Rng) -> f64) -> order::Expected {
+fn learned(run: fn(&mut rand_chacha::ChaCha8Rng) -> f64) -> order::TaskEstimate {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(1);
     let run_ms = mean(|| run(&mut rng));
     let error_ms = mean(|| (run(&mut rng) - run_ms).abs());
-    order::Expected {
+    order::TaskEstimate {
         run_ms: run_ms as u64,
         error_ms: error_ms as u64,
     }
@@ -64,7 +64,7 @@
 #[case::the_longest_stands_out(&[(100, 90), (400, 90)], 400)]
 #[case::alike(&[(100, 50), (100, 50)], 137)]
 fn longest_where_the_others_differ(#[case] tasks: &[(u64, u64)], #[case] longest: u64) {
-    let expected = tasks.iter().map(|(run_ms, error_ms)| order::Expected {
+    let expected = tasks.iter().map(|(run_ms, error_ms)| order::TaskEstimate {
         run_ms: *run_ms,
         error_ms: *error_ms,
     });
--- a/tests/unit/queue.rs
+++ b/tests/unit/queue.rs
@@ -55,7 +55,7 @@
             submission: key(job),
             index,
         },
-        team: queue.team(&SmolStr::new(TEAMS[team as usize])),
+        team: queue.team_key(&SmolStr::new(TEAMS[team as usize])),
         expected_ms: ms,
         rank_ms: u64::from(job),
     }
@@ -157,9 +157,9 @@
         }
         Step::Undo => {
             if let Some(item) = queue.pop() {
-                queue.undo(item);
+                queue.put_back(item);
                 let again = queue.pop().map(|again| {
-                    queue.undo(again);
+                    queue.put_back(again);
                     again.task
                 });
                 prop_assert_eq!(again, Some(item.task));
@@ -258,7 +258,7 @@
         let item = queue.pop().expect("work waits");
         queue.started(&item);
         queue.released(item.team);
-        queue.recharge(item.team, item.expected_ms, 100);
+        queue.adjust_charge(item.team, item.expected_ms, 100);
         liars += u32::from(item.task.submission == key(0));
     }
 
@@ -278,7 +278,7 @@
     #[case] second_ms: u64,
     #[case] age_ms: u64,
 ) {
-    let shape = |ms| order::Shape {
+    let shape = |ms| order::JobEstimate {
         longest_ms: ms,
         work_ms: ms,
         slots: 8,
@@ -292,7 +292,7 @@
 
 #[test]
 fn a_job_starts_its_longest_task_first() {
-    let shape = order::Shape {
+    let shape = order::JobEstimate {
         longest_ms: 800,
         work_ms: 1_000,
         slots: 8,
--- a/tests/unit/starts.rs
+++ b/tests/unit/starts.rs
@@ -57,8 +57,8 @@
     }
 }
 
-fn ended() -> starts::Entry {
-    starts::Entry::Ended(wire::Outcome::Ended {
+fn ended() -> starts::AttemptState {
+    starts::AttemptState::Ended(wire::Outcome::Ended {
         code: codes::Code::Complete,
         output: String::new(),
         run_ms: 1,
@@ -93,14 +93,14 @@
                 }
             }
             Step::Start(at) => {
-                if ledger.get(attempt(at)) == Some(&starts::Entry::Parked) {
-                    let running = starts::Entry::Running { since_ms: now_ms };
+                if ledger.get(attempt(at)) == Some(&starts::AttemptState::Parked) {
+                    let running = starts::AttemptState::Running { since_ms: now_ms };
                     ledger.set(attempt(at), running);
                 }
             }
             Step::End(at) => {
                 let entry = ledger.get(attempt(at));
-                if matches!(entry, Some(starts::Entry::Running { .. })) {
+                if matches!(entry, Some(starts::AttemptState::Running { .. })) {
                     ledger.set(attempt(at), ended());
                 }
             }
@@ -159,7 +159,7 @@
     let later = ledger.admit(next, ledger.epoch());
 
     let full = starts::Admission::Refused(codes::Code::RunnerFull);
-    let barred = starts::Entry::Barred(codes::Code::Fenced);
+    let barred = starts::AttemptState::Barred(codes::Code::Fenced);
     assert_eq!(taken_in, full);
     assert_eq!(promise, None);
     assert_eq!(first, starts::Admission::Known(barred));
