--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -14,7 +14,7 @@
 
 /// The drain rate of one entry.
 #[derive(Clone, Copy, Debug)]
-pub struct Drain {
+pub struct DrainRate {
     rate: f64,
     slots: f64,
     began_ms: u64,
@@ -22,7 +22,7 @@
     is_backlogged: bool,
 }
 
-impl Drain {
+impl DrainRate {
     /// Starts with nothing measured.
     pub const fn new(now_ms: u64) -> Self {
         Self {
@@ -35,7 +35,7 @@
     }
 
     /// A task ended that was expected to take so long.
-    pub const fn done(&mut self, expected_ms: u64) {
+    pub const fn task_ended(&mut self, expected_ms: u64) {
         self.done_ms += expected_ms;
     }
 
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -6,10 +6,10 @@
 //! refused at once and never queued, so "not run" is true.
 //!
 //! The wait is foreseen from the drain rate ([`drain`]) and the team's fair share of
-//! it; the time to come back from a virtual queue of the refused ([`returning`]).
+//! it; the time to come back from a virtual queue of the refused ([`retry_after`]).
 
 pub mod drain;
-pub mod returning;
+pub mod retry_after;
 
 use crate::api;
 use crate::codes;
@@ -25,21 +25,21 @@
 
 /// A submission as it looks to admission.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Asked {
+pub struct Demand {
     /// Tasks.
     pub tasks: usize,
     /// Expected slot time of all its tasks, in milliseconds.
     pub work_ms: u64,
     /// Expected run time of its longest task, where it was learned; what is only
     /// declared does not count against a deadline.
-    pub known_longest_ms: Option<u64>,
+    pub learned_longest_ms: Option<u64>,
     /// Milliseconds until its deadline.
     pub deadline_ms: u64,
 }
 
 /// The entry's queues as they look to one decision.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct View {
+pub struct LoadSnapshot {
     /// Tasks that wait, of all teams.
     pub queued: usize,
     /// Tasks that wait, of the team.
@@ -50,13 +50,13 @@
     pub team_backlog_ms: u64,
     /// The team's part of the slots beside the others that want them now.
     pub share: f64,
-    /// Slot time done in a millisecond, see [`drain::Drain`].
+    /// Slot time done in a millisecond, see [`drain::DrainRate`].
     pub drain_rate: f64,
     /// For how long there was no runner in service, in milliseconds; 0: there is one.
     pub no_runner_ms: u64,
 }
 
-impl View {
+impl LoadSnapshot {
     /// Milliseconds until so much more work of the team would be done.
     ///
     /// The team gets its share of the rate while the others want theirs, and no less
@@ -81,8 +81,8 @@
 
 /// Why a submission is not taken in, or `None`.
 pub fn refusal(
-    asked: &Asked,
-    view: &View,
+    asked: &Demand,
+    view: &LoadSnapshot,
     team: &settings::Team,
     settings: &settings::Settings,
 ) -> Option<codes::Code> {
@@ -109,7 +109,7 @@
     if view.no_runner_ms > 0 {
         return None;
     }
-    let answered_ms = view.wait_ms(asked.work_ms) + asked.known_longest_ms.unwrap_or(0) as f64;
+    let answered_ms = view.wait_ms(asked.work_ms) + asked.learned_longest_ms.unwrap_or(0) as f64;
     let allowed_ms = asked.deadline_ms as f64 * DEADLINE_PART;
     if view.backlog_ms > 0 && answered_ms > allowed_ms {
         return Some(codes::Code::DeadlineUnreachable);
@@ -123,8 +123,8 @@
 ///
 /// Only a learned run time counts, and only half of it: run times within a kind
 /// spread, and what might still be in time is not given up.
-pub const fn is_hopeless(left_ms: u64, known_longest_ms: Option<u64>) -> bool {
-    match known_longest_ms {
+pub const fn is_infeasible(left_ms: u64, learned_longest_ms: Option<u64>) -> bool {
+    match learned_longest_ms {
         Some(longest) => left_ms < longest / 2,
         None => false,
     }
@@ -132,12 +132,12 @@
 
 /// The shape of a submission's tasks, from the expected run time of each and whether
 /// it was learned.
-pub fn ask(tasks: &[api::Task], expected: &[(u64, bool)], deadline_ms: u64) -> Asked {
+pub fn demand(tasks: &[api::Task], expected: &[(u64, bool)], deadline_ms: u64) -> Demand {
     let longest = expected.iter().max_by_key(|(ms, _)| *ms);
-    Asked {
+    Demand {
         tasks: tasks.len(),
         work_ms: expected.iter().map(|(ms, _)| ms).sum(),
-        known_longest_ms: longest.filter(|(_, known)| *known).map(|(ms, _)| *ms),
+        learned_longest_ms: longest.filter(|(_, known)| *known).map(|(ms, _)| *ms),
         deadline_ms,
     }
 }
--- a/src/admission/returning.rs
+++ b/src/admission/retry_after.rs
@@ -22,11 +22,11 @@
 
 /// Work refused lately and expected back, by team.
 #[derive(Debug, Default)]
-pub struct Returning {
+pub struct RefusedWork {
     teams: slotmap::SecondaryMap<queue::TeamKey, Refused>,
 }
 
-impl Returning {
+impl RefusedWork {
     /// When to come back with so much work, in milliseconds from now.
     ///
     /// `rate` is the slot time a millisecond that the team can count on, `excess_ms`
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 
 use crate::admission::drain;
-use crate::admission::returning;
+use crate::admission::retry_after;
 use crate::api;
 use crate::claims;
 use crate::claims::pace;
@@ -146,8 +146,8 @@
     pub(crate) queue: queue::Queue,
     pub(crate) retries: retry::Retries,
     pub(crate) in_flight: flights::Flights,
-    pub(crate) drain: drain::Drain,
-    pub(crate) returning: returning::Returning,
+    pub(crate) drain: drain::DrainRate,
+    pub(crate) returning: retry_after::RefusedWork,
     /// An equal part of all slots in service, beside the other entries.
     pub(crate) part: f64,
     pub(crate) no_runner_since_ms: Option<u64>,
@@ -194,8 +194,8 @@
             queue,
             retries,
             in_flight: flights::Flights::default(),
-            drain: drain::Drain::new(now_ms),
-            returning: returning::Returning::default(),
+            drain: drain::DrainRate::new(now_ms),
+            returning: retry_after::RefusedWork::default(),
             part: 0.0,
             no_runner_since_ms: Some(now_ms),
             learned: learning::Table::default(),
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -58,7 +58,7 @@
         })
     }
 
-    fn asked(&self, team: &SmolStr, submission: &api::Submission) -> admission::Asked {
+    fn asked(&self, team: &SmolStr, submission: &api::Submission) -> admission::Demand {
         let estimate = |task: &api::Task| {
             let estimate = self.estimate(team, task);
             (estimate.run_ms, estimate.is_learned)
@@ -66,15 +66,15 @@
         let expected: Vec<_> = submission.tasks.iter().map(estimate).collect();
         let deadline_ms = submission.deadline_ms;
         let deadline_ms = deadline_ms.unwrap_or_else(|| self.settings.timeouts.deadline_ms.into());
-        admission::ask(&submission.tasks, &expected, deadline_ms)
+        admission::demand(&submission.tasks, &expected, deadline_ms)
     }
 
     fn admission_code(
         &self,
         team: &SmolStr,
         submission: &api::Submission,
-        asked: &admission::Asked,
-        view: &admission::View,
+        asked: &admission::Demand,
+        view: &admission::LoadSnapshot,
     ) -> Option<codes::Code> {
         let needs = submission.tasks.iter();
         let needs: Vec<_> = needs.map(|task| self.need_of(team, task)).collect();
@@ -88,10 +88,10 @@
         admission::refusal(asked, view, quota, &self.settings)
     }
 
-    fn load_view(&self, now_ms: u64, team: &SmolStr) -> admission::View {
+    fn load_view(&self, now_ms: u64, team: &SmolStr) -> admission::LoadSnapshot {
         let teams = self.queue.teams();
         let own = teams.find(team);
-        admission::View {
+        admission::LoadSnapshot {
             queued: self.queue.len(),
             team_queued: own.map_or(0, |own| own.waiting),
             backlog_ms: self.queue.backlog_ms(),
@@ -123,8 +123,8 @@
         now_ms: u64,
         team: &SmolStr,
         code: codes::Code,
-        asked: &admission::Asked,
-        view: &admission::View,
+        asked: &admission::Demand,
+        view: &admission::LoadSnapshot,
     ) -> Option<u64> {
         if matches!(code, codes::Code::NeverFits | codes::Code::OverQuota) {
             return None;
@@ -239,7 +239,7 @@
             return;
         };
         let (team, expected_ms) = (flight.team, flight.expected_ms);
-        self.drain.done(expected_ms);
+        self.drain.task_ended(expected_ms);
         self.queue.adjust_charge(team, expected_ms, run_ms.max(1));
         // A task that failed or was stopped tells nothing of how long such tasks take:
         // a server that fails everything at once would teach that all are short.
@@ -309,7 +309,7 @@
         let estimates = estimates.map(|task| self.estimate(&open.header.team, task));
         let longest = estimates.max_by_key(|estimate| estimate.run_ms);
         let known = longest.filter(|longest| longest.is_learned);
-        admission::is_hopeless(left_ms, known.map(|known| known.run_ms))
+        admission::is_infeasible(left_ms, known.map(|known| known.run_ms))
     }
 }
 
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -28,7 +28,7 @@
         }
         let mut view = View {
             pool: placement::Pool::new(self.candidates(now_ms)),
-            spread: placement::Spread::default(),
+            spread: placement::RackSpread::default(),
         };
         let mut passed_over = Vec::new();
         while passed_over.len() < MAX_PASSED_OVER {
@@ -64,7 +64,7 @@
         let draw = self.rng.next_u64();
         let policy = self.placement_policy();
         let spare_ms = item.rank_ms.saturating_sub(now_ms);
-        view.pool.is_unhurried = spare_ms >= item.expected_ms * PROBE_FACTOR;
+        view.pool.has_slack = spare_ms >= item.expected_ms * PROBE_FACTOR;
         let choice = view.pool.choose(&need, &view.spread, &policy, draw);
         match choice {
             placement::Choice::Send(at) => self.send_to(now_ms, item, need, view, at),
@@ -84,7 +84,7 @@
         view: &mut View,
         at: usize,
     ) -> Placed {
-        let Some(candidate) = view.pool.at(at).copied() else {
+        let Some(candidate) = view.pool.get(at).copied() else {
             return Placed::Waits;
         };
         let Some(action) = self.send(now_ms, item, candidate.key, need) else {
@@ -103,7 +103,7 @@
     }
 
     /// Counts where the tasks of a submission are, unless they are counted already.
-    fn count_spread(&self, submission: jobs::Key, spread: &mut placement::Spread) {
+    fn count_spread(&self, submission: jobs::Key, spread: &mut placement::RackSpread) {
         if spread.is_of(submission) {
             return;
         }
@@ -185,7 +185,7 @@
         let probe = allowance
             .most
             .map(|most| most.saturating_sub(runner.in_flight));
-        let room = ramp.into_iter().chain(probe).min();
+        let send_limit = ramp.into_iter().chain(probe).min();
         let waiting = u32::try_from(-free_slots.min(0)).unwrap_or(u32::MAX);
         Some(placement::Candidate {
             key,
@@ -199,7 +199,7 @@
             rack: runner.rack,
             free_slots,
             parked: waiting.min(runner.in_flight),
-            room,
+            send_limit,
             free: runner.free(),
             size: runner.load.size,
         })
@@ -282,7 +282,7 @@
 /// What one round of handing out sees.
 struct View {
     pool: placement::Pool,
-    spread: placement::Spread,
+    spread: placement::RackSpread,
 }
 
 enum Placed {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -32,7 +32,7 @@
     pub parked: u32,
     /// How many more tasks it may be sent: a probed one or one in a returning zone
     /// has less room than slots, and nothing may wait there.
-    pub room: Option<u32>,
+    pub send_limit: Option<u32>,
     /// What is thought to be free of the worker.
     pub free: wire::Resources,
     /// The worker's size.
@@ -61,12 +61,12 @@
 
 /// Tasks of one submission in each rack.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
+pub struct RackSpread {
     submission: Option<jobs::Key>,
     racks: Vec<u32>,
 }
 
-impl Spread {
+impl RackSpread {
     /// Whether this counts the tasks of that submission.
     pub fn is_of(&self, submission: jobs::Key) -> bool {
         self.submission == Some(submission)
@@ -97,7 +97,7 @@
 pub struct Pool {
     candidates: Vec<Candidate>,
     /// Whether the task to be placed has time to spare.
-    pub is_unhurried: bool,
+    pub has_slack: bool,
 }
 
 impl Pool {
@@ -105,12 +105,12 @@
     pub const fn new(candidates: Vec<Candidate>) -> Self {
         Self {
             candidates,
-            is_unhurried: true,
+            has_slack: true,
         }
     }
 
     /// The candidate at a place that was chosen.
-    pub fn at(&self, place: usize) -> Option<&Candidate> {
+    pub fn get(&self, place: usize) -> Option<&Candidate> {
         self.candidates.get(place)
     }
 
@@ -128,7 +128,7 @@
     pub fn choose(
         &self,
         need: &wire::Resources,
-        spread: &Spread,
+        spread: &RackSpread,
         policy: &settings::Policy,
         draw: u64,
     ) -> Choice {
@@ -164,7 +164,7 @@
     }
 
     fn may_try(&self, one: &Candidate) -> bool {
-        self.is_unhurried || one.trust != health::Trust::FirstProbe
+        self.has_slack || one.trust != health::Trust::FirstProbe
     }
 
     fn why_none(&self, need: &wire::Resources) -> Choice {
@@ -186,12 +186,14 @@
             one.parked += 1;
         }
         one.free_slots -= 1;
-        one.room = one.room.map(|room| room.saturating_sub(1));
+        one.send_limit = one
+            .send_limit
+            .map(|send_limit| send_limit.saturating_sub(1));
         one.free = one.free.minus(need);
     }
 }
 
-fn score(one: &Candidate, spread: &Spread, policy: &settings::Policy) -> Score {
+fn score(one: &Candidate, spread: &RackSpread, policy: &settings::Policy) -> Score {
     let near = if one.is_near {
         i64::from(policy.near_zone_bias)
     } else {
@@ -209,8 +211,8 @@
 }
 
 fn is_usable(one: &Candidate, need: &wire::Resources, policy: &settings::Policy) -> bool {
-    if let Some(room) = one.room {
-        return room > 0 && one.free_slots > 0 && need.fits_in(&one.free);
+    if let Some(send_limit) = one.send_limit {
+        return send_limit > 0 && one.free_slots > 0 && need.fits_in(&one.free);
     }
     if one.free_slots > 0 {
         return need.fits_in(&one.free);
--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -2,7 +2,7 @@
 
 use bulrushtiller::admission;
 use bulrushtiller::admission::drain;
-use bulrushtiller::admission::returning;
+use bulrushtiller::admission::retry_after;
 use bulrushtiller::codes::Code;
 use bulrushtiller::queue;
 use bulrushtiller::settings;
@@ -10,18 +10,18 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 
-fn asked() -> admission::Asked {
-    admission::Asked {
+fn asked() -> admission::Demand {
+    admission::Demand {
         tasks: 10,
         work_ms: 1_000,
-        known_longest_ms: Some(200),
+        learned_longest_ms: Some(200),
         deadline_ms: 4_000,
     }
 }
 
 /// Alone on 10 slots, with a second of work waiting for each of them.
-fn view() -> admission::View {
-    admission::View {
+fn view() -> admission::LoadSnapshot {
+    admission::LoadSnapshot {
         queued: 100,
         team_queued: 100,
         backlog_ms: 10_000,
@@ -42,27 +42,27 @@
 #[rstest]
 #[case::taken_in(asked(), view(), None)]
 #[case::waits_too_long_for_its_deadline(
-    admission::Asked { deadline_ms: 2_400, ..asked() }, view(), Some(Code::DeadlineUnreachable))]
+    admission::Demand { deadline_ms: 2_400, ..asked() }, view(), Some(Code::DeadlineUnreachable))]
 #[case::a_run_time_only_declared_does_not_count(
-    admission::Asked { deadline_ms: 2_400, known_longest_ms: None, ..asked() }, view(), None)]
+    admission::Demand { deadline_ms: 2_400, learned_longest_ms: None, ..asked() }, view(), None)]
 #[case::an_empty_queue_takes_what_might_be_in_time(
-    admission::Asked { deadline_ms: 10, ..asked() },
-    admission::View { backlog_ms: 0, team_backlog_ms: 0, ..view() }, None)]
+    admission::Demand { deadline_ms: 10, ..asked() },
+    admission::LoadSnapshot { backlog_ms: 0, team_backlog_ms: 0, ..view() }, None)]
 #[case::waits_too_long_by_policy(
-    admission::Asked { deadline_ms: 60_000, ..asked() },
-    admission::View { drain_rate: 1.0, ..view() }, Some(Code::TeamQueueFull))]
+    admission::Demand { deadline_ms: 60_000, ..asked() },
+    admission::LoadSnapshot { drain_rate: 1.0, ..view() }, Some(Code::TeamQueueFull))]
 #[case::others_backlog_counts_only_up_to_the_share(
-    asked(), admission::View { backlog_ms: 900_000, team_backlog_ms: 1_000, share: 0.5, ..view() }, None)]
+    asked(), admission::LoadSnapshot { backlog_ms: 900_000, team_backlog_ms: 1_000, share: 0.5, ..view() }, None)]
 #[case::larger_than_the_quota(
-    admission::Asked { tasks: 1_001, ..asked() }, view(), Some(Code::OverQuota))]
-#[case::team_full(asked(), admission::View { team_queued: 991, ..view() }, Some(Code::TeamQueueFull))]
-#[case::entry_full(asked(), admission::View { queued: 19_991, ..view() }, Some(Code::EntryQueueFull))]
-#[case::no_runner_for_a_moment(asked(), admission::View { no_runner_ms: 2_000, ..view() }, None)]
+    admission::Demand { tasks: 1_001, ..asked() }, view(), Some(Code::OverQuota))]
+#[case::team_full(asked(), admission::LoadSnapshot { team_queued: 991, ..view() }, Some(Code::TeamQueueFull))]
+#[case::entry_full(asked(), admission::LoadSnapshot { queued: 19_991, ..view() }, Some(Code::EntryQueueFull))]
+#[case::no_runner_for_a_moment(asked(), admission::LoadSnapshot { no_runner_ms: 2_000, ..view() }, None)]
 #[case::no_runner_for_long(
-    asked(), admission::View { no_runner_ms: 3_001, ..view() }, Some(Code::NoCapacity))]
+    asked(), admission::LoadSnapshot { no_runner_ms: 3_001, ..view() }, Some(Code::NoCapacity))]
 fn a_submission_is_refused_for_its_reason(
-    #[case] asked: admission::Asked,
-    #[case] view: admission::View,
+    #[case] asked: admission::Demand,
+    #[case] view: admission::LoadSnapshot,
     #[case] expected: Option<Code>,
 ) {
     let settings = settings::Settings::default();
@@ -97,18 +97,18 @@
     #[case] known: Option<u64>,
     #[case] expected: bool,
 ) {
-    let is_hopeless = admission::is_hopeless(left_ms, known);
+    let is_hopeless = admission::is_infeasible(left_ms, known);
 
     assert_eq!(is_hopeless, expected);
 }
 
 /// Work of 100 ms each, expected to take `expected_ms`, ends on 8 slots while more
 /// waits or not.
-fn drained(expected_ms: u64, is_backlogged: bool) -> drain::Drain {
-    let mut drain = drain::Drain::new(0);
+fn drained(expected_ms: u64, is_backlogged: bool) -> drain::DrainRate {
+    let mut drain = drain::DrainRate::new(0);
     for now_ms in 1..=10_000 {
         if now_ms % 100 == 0 {
-            (0..8).for_each(|_| drain.done(expected_ms));
+            (0..8).for_each(|_| drain.task_ended(expected_ms));
         }
         if now_ms % 20 == 0 {
             drain.tick(now_ms, 16.0, is_backlogged);
@@ -136,14 +136,14 @@
     let mut queue = queue::Queue::default();
     let hot = queue.team_key(&SmolStr::new("hot"));
     let other = queue.team_key(&SmolStr::new("other"));
-    let mut returning = returning::Returning::default();
+    let mut returning = retry_after::RefusedWork::default();
 
     let mut after = |team| returning.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
     let hots: Vec<_> = (0..20).map(|_| after(hot)).collect();
     let others = after(other);
 
     assert_eq!(&hots[..3], [1_000, 2_000, 3_000]);
-    assert_eq!(hots[19], returning::MAX_MS);
+    assert_eq!(hots[19], retry_after::MAX_MS);
     assert_eq!(others, 1_000);
 }
 
@@ -151,7 +151,7 @@
 fn the_refused_are_forgotten_as_their_work_drains() {
     let mut queue = queue::Queue::default();
     let team = queue.team_key(&SmolStr::new("hot"));
-    let mut returning = returning::Returning::default();
+    let mut returning = retry_after::RefusedWork::default();
     for _ in 0..5 {
         returning.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
     }
--- a/tests/unit/placement.rs
+++ b/tests/unit/placement.rs
@@ -43,7 +43,7 @@
         rack: membership::Rack(0),
         free_slots: 8,
         parked: 0,
-        room: None,
+        send_limit: None,
         free: cpu(16_000),
         size: cpu(16_000),
     }
@@ -56,10 +56,10 @@
 type Raw = ((bool, bool, u32), (i64, u32, Option<u32>), (u32, u32));
 
 fn raw() -> impl Strategy<Value = Raw> {
-    let room = proptest::option::of(0_u32..3);
+    let send_limit = proptest::option::of(0_u32..3);
     (
         (proptest::bool::ANY, proptest::bool::weighted(0.2), 0_u32..3),
-        (-3_i64..5, 0_u32..3, room),
+        (-3_i64..5, 0_u32..3, send_limit),
         (0_u32..4, 0_u32..4),
     )
 }
@@ -67,14 +67,14 @@
 fn drawn(raw: &[Raw]) -> Vec<placement::Candidate> {
     let keys = keys(raw.len());
     let one = |(key, raw): (membership::RunnerKey, &Raw)| {
-        let ((is_near, is_suspect, rack), (free_slots, parked, room), (free, more)) = *raw;
+        let ((is_near, is_suspect, rack), (free_slots, parked, send_limit), (free, more)) = *raw;
         placement::Candidate {
             is_near,
             is_suspect,
             rack: membership::Rack(rack),
             free_slots,
             parked,
-            room,
+            send_limit,
             free: cpu(free),
             size: cpu(free + more),
             ..candidate(key)
@@ -86,7 +86,7 @@
 /// Whether a task may go there, said as plainly as can be.
 fn may_go(one: &placement::Candidate, need: u32, park: u32) -> bool {
     let has_slot = one.free_slots > 0 && need <= one.free.cpu_milli;
-    match one.room {
+    match one.send_limit {
         Some(0) => false,
         Some(_) => has_slot,
         None if one.free_slots > 0 => has_slot,
@@ -121,7 +121,7 @@
     let verdict = runner.run(&input, |(raw, need, (park, bias), draw)| {
         let candidates = drawn(&raw);
         let pool = pool_of(&candidates);
-        let spread = placement::Spread::default();
+        let spread = placement::RackSpread::default();
         let choice = pool.choose(&cpu(need), &spread, &policy(park, bias), draw);
         let able: Vec<_> = candidates
             .iter()
@@ -152,7 +152,7 @@
     let verdict = runner.run(&input, |(raw, park)| {
         let candidates = drawn(&raw);
         let mut pool = pool_of(&candidates);
-        let spread = placement::Spread::default();
+        let spread = placement::RackSpread::default();
         let mut sent = vec![0_i64; candidates.len()];
         while let placement::Choice::Send(at) = pool.choose(&cpu(0), &spread, &policy(park, 0), 7) {
             pool.sent(at, &cpu(0));
@@ -163,8 +163,8 @@
             let slots = one.free_slots.max(0);
             let waits = i64::from(park.saturating_sub(one.parked));
             let most = one
-                .room
-                .map_or(slots + waits, |room| slots.min(room.into()));
+                .send_limit
+                .map_or(slots + waits, |send_limit| slots.min(send_limit.into()));
             assert_eq!(sent, most);
         }
         Ok(())
@@ -186,7 +186,7 @@
         ..candidate(keys[1])
     };
     let pool = pool_of(&[near_and_full, far]);
-    let spread = placement::Spread::default();
+    let spread = placement::RackSpread::default();
 
     let choice = pool.choose(&cpu(100), &spread, &policy(1, 64), 0);
 
@@ -203,7 +203,7 @@
         ..candidate(keys[at])
     };
     let pool = pool_of(&[in_rack(0), in_rack(1)]);
-    let mut spread = placement::Spread::default();
+    let mut spread = placement::RackSpread::default();
     spread.add(membership::Rack(crowded));
 
     let choices: Vec<_> = (0..4)
