--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -297,7 +297,10 @@
             return false;
         }
         let deadline_ms = open.header.deadline_ms;
-        if !self.retries.plan(now_ms, deadline_ms, flight.item(), seed) {
+        if !self
+            .retries
+            .schedule(now_ms, deadline_ms, flight.item(), seed)
+        {
             return false;
         }
         open.lost(flight.task.index, code, place.cloned());
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -154,7 +154,7 @@
     pub(crate) learned: learning::Table,
     /// Slots in service, as of the last tick.
     pub(crate) slots: u32,
-    pub(crate) stock: leading::Stock,
+    pub(crate) stock: leading::TicketStock,
     pub(crate) next_attempt: u64,
     pub(crate) next_ticket: u64,
     pub(crate) is_leaving: bool,
@@ -200,7 +200,7 @@
             no_runner_since_ms: Some(now_ms),
             learned: learning::Table::default(),
             slots: 0,
-            stock: leading::Stock::default(),
+            stock: leading::TicketStock::default(),
             next_attempt: 1,
             next_ticket: 1,
             is_leaving: false,
--- a/src/entry/passing.rs
+++ b/src/entry/passing.rs
@@ -82,12 +82,12 @@
     pub(crate) fn tickets_wanted(&mut self, now_ms: u64, peer: ids::Incarnation) -> u32 {
         let leader = self.other_leader(now_ms);
         let leader = leader.filter(|leader| leader.incarnation == peer);
-        leader.map_or(0, |leader| self.stock.wanted(now_ms, &leader))
+        leader.map_or(0, |leader| self.stock.shortfall(now_ms, &leader))
     }
 
     /// Sets tickets apart for another entry.
     pub(crate) fn grant_tickets(&mut self, wanted: u32) -> Option<wire::TicketRange> {
-        let count = wanted.min(leading::MAX_GRANT);
+        let count = wanted.min(leading::MAX_TICKETS_PER_GRANT);
         if count == 0 || self.is_leaving {
             return None;
         }
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -84,7 +84,7 @@
         view: &mut View,
         at: usize,
     ) -> Placed {
-        let Some(candidate) = view.pool.get(at).copied() else {
+        let Some(candidate) = view.pool.candidate_at(at).copied() else {
             return Placed::Waits;
         };
         let Some(action) = self.send(now_ms, item, candidate.key, need) else {
--- a/src/window.rs
+++ b/src/epoch_window.rs
@@ -9,12 +9,12 @@
 
 /// Epochs of one life of a process; the first is 1.
 #[derive(Clone, Copy, Debug)]
-pub struct Epochs {
+pub struct EpochWindow {
     current: u64,
     began_ms: u64,
 }
 
-impl Epochs {
+impl EpochWindow {
     /// Starts the first epoch.
     pub const fn new(now_ms: u64) -> Self {
         Self {
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -6,11 +6,11 @@
 
 use crate::api;
 use crate::codes;
+use crate::epoch_window;
 use crate::ids;
 use crate::jobs;
 use crate::jobs::due;
 use crate::jobs::summary;
-use crate::window;
 
 slotmap::new_key_type! {
     /// Key of a submission; never valid for another one.
@@ -67,7 +67,7 @@
 /// The submissions.
 #[derive(Debug)]
 pub struct Table {
-    epochs: window::Epochs,
+    epochs: epoch_window::EpochWindow,
     lines: slotmap::SlotMap<Key, Line>,
     names: collections::HashMap<Name, Key>,
     due: due::DueIndex,
@@ -82,7 +82,7 @@
     /// Starts empty, in the first epoch.
     pub fn new(now_ms: u64) -> Self {
         Self {
-            epochs: window::Epochs::new(now_ms),
+            epochs: epoch_window::EpochWindow::new(now_ms),
             lines: slotmap::SlotMap::with_key(),
             names: collections::HashMap::new(),
             due: due::DueIndex::default(),
@@ -94,7 +94,7 @@
     }
 
     /// The epochs by which tickets are minted and checked.
-    pub const fn epochs(&self) -> window::Epochs {
+    pub const fn epochs(&self) -> epoch_window::EpochWindow {
         self.epochs
     }
 
--- a/src/leading/mod.rs
+++ b/src/leading/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! So an entry that sees few free slots passes new submissions on to the leading one.
 //! Nothing has to be agreed for that: a passed submission goes under a ticket that the
-//! leading entry minted ([`Stock`]), so that whoever else believes to lead can't start
+//! leading entry minted ([`TicketStock`]), so that whoever else believes to lead can't start
 //! it, and two that lead at once are no worse than none.
 
 use smol_str::SmolStr;
@@ -18,10 +18,10 @@
 
 /// Tickets of the leading entry that another keeps ready: half a second of the 500
 /// submissions a second that an entry is good for.
-pub const STOCK: u32 = 256;
+pub const TICKET_STOCK_SIZE: u32 = 256;
 
 /// Tickets given to another entry at once, at most.
-pub const MAX_GRANT: u32 = 1_024;
+pub const MAX_TICKETS_PER_GRANT: u32 = 1_024;
 
 /// How long tickets of the leading entry are kept ready, in milliseconds. Short beside
 /// their validity, which callers that take them ahead of time are told in full.
@@ -29,7 +29,7 @@
 
 /// Part of the slots seen here that a leading entry must see too: one that is cut off
 /// from runners would refuse what this one can place.
-pub const LEAST_VIEW: f64 = 0.75;
+pub const MIN_VISIBLE_PART: f64 = 0.75;
 
 /// An entry as a candidate for leading.
 #[derive(Clone, Copy, Debug)]
@@ -50,7 +50,7 @@
     candidates: impl Iterator<Item = Candidate<'a>>,
     slots: u32,
 ) -> Option<&'a wire::Peer> {
-    let least = f64::from(slots) * LEAST_VIEW;
+    let least = f64::from(slots) * MIN_VISIBLE_PART;
     let seeing = candidates.filter(|one| one.slots > 0 && f64::from(one.slots) >= least);
     let first = seeing.min_by_key(|one| (one.is_zone_out, one.peer.incarnation, &one.peer.name));
     first.map(|one| one.peer)
@@ -64,7 +64,7 @@
 
 /// Tickets of another entry, ready to be used.
 #[derive(Clone, Debug, Default)]
-pub struct Stock {
+pub struct TicketStock {
     of: Option<Minter>,
     ranges: std::collections::VecDeque<Range>,
 }
@@ -81,7 +81,7 @@
     until_ms: u64,
 }
 
-impl Stock {
+impl TicketStock {
     /// Adds tickets minted by that entry; those of another one are dropped.
     pub fn add(&mut self, now_ms: u64, minter: &wire::Peer, tickets: wire::TicketRange) {
         let of = Minter {
@@ -115,10 +115,10 @@
     }
 
     /// How many more of that entry's tickets to ask for.
-    pub fn wanted(&mut self, now_ms: u64, minter: &wire::Peer) -> u32 {
+    pub fn shortfall(&mut self, now_ms: u64, minter: &wire::Peer) -> u32 {
         self.expire(now_ms, minter);
         let kept: u32 = self.ranges.iter().map(|range| range.tickets.count).sum();
-        STOCK.saturating_sub(kept)
+        TICKET_STOCK_SIZE.saturating_sub(kept)
     }
 
     fn expire(&mut self, now_ms: u64, minter: &wire::Peer) {
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -110,7 +110,7 @@
     }
 
     /// The candidate at a place that was chosen.
-    pub fn get(&self, place: usize) -> Option<&Candidate> {
+    pub fn candidate_at(&self, place: usize) -> Option<&Candidate> {
         self.candidates.get(place)
     }
 
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -94,7 +94,13 @@
     /// Takes in a task that may have run; says whether it will be started again.
     ///
     /// A retry that would begin at or after `deadline_ms` is not made.
-    pub fn plan(&mut self, now_ms: u64, deadline_ms: u64, item: queue::Item, seed: u64) -> bool {
+    pub fn schedule(
+        &mut self,
+        now_ms: u64,
+        deadline_ms: u64,
+        item: queue::Item,
+        seed: u64,
+    ) -> bool {
         let made = self.made.get(&item.task).copied().unwrap_or(0);
         let Some(delay_ms) = delay_ms(made, seed) else {
             return false;
--- a/src/starts/mod.rs
+++ b/src/starts/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! Every start passes [`Ledger::admit`] once. An attempt that was admitted or
 //! barred is remembered for as long as a repeat of its message could still be
-//! taken in, see [`crate::window`].
+//! taken in, see [`crate::epoch_window`].
 
 use std::collections;
 
 use crate::codes;
+use crate::epoch_window;
 use crate::ids;
-use crate::window;
 use crate::wire;
 
 /// Most attempts remembered; beyond it nothing is admitted.
@@ -69,7 +69,7 @@
 /// The attempts of one life of one runner.
 #[derive(Debug)]
 pub struct Ledger {
-    epochs: window::Epochs,
+    epochs: epoch_window::EpochWindow,
     records: collections::HashMap<ids::Attempt, Record>,
 }
 
@@ -77,7 +77,7 @@
     /// Starts with nothing remembered.
     pub fn new(now_ms: u64) -> Self {
         Self {
-            epochs: window::Epochs::new(now_ms),
+            epochs: epoch_window::EpochWindow::new(now_ms),
             records: collections::HashMap::new(),
         }
     }
--- a/tests/failure/rig.rs
+++ b/tests/failure/rig.rs
@@ -223,7 +223,7 @@
     /// Among the first it gives may be some of the entry that leads, of which it keeps no
     /// more than a stock.
     pub fn ticket(&self, entry: usize) -> ids::SubmissionId {
-        let count = leading::STOCK + 1;
+        let count = leading::TICKET_STOCK_SIZE + 1;
         let order = api::TicketOrder { count };
         let entry = &self.entries[entry];
         let given: Option<api::Tickets> = post(entry.address(), "/v1/tickets", TOKEN, &order);
--- a/tests/unit/window.rs
+++ b/tests/unit/epoch_window.rs
@@ -1,6 +1,6 @@
 //! Epochs, against a naive list of all that was ever handed out and recorded.
 
-use bulrushtiller::window;
+use bulrushtiller::epoch_window;
 use proptest::prop_assert;
 use proptest::prop_assert_eq;
 use rstest::rstest;
@@ -18,7 +18,7 @@
 
     let result = runner.run(&pauses, |pauses| {
         let mut now_ms = 7;
-        let mut epochs = window::Epochs::new(now_ms);
+        let mut epochs = epoch_window::EpochWindow::new(now_ms);
         let mut handed_out = Vec::new();
         let mut begun = 1;
         for pause in pauses {
@@ -46,7 +46,7 @@
 #[case::future(2)]
 #[case::greatest(u64::MAX)]
 fn foreign_epoch(#[case] epoch: u64) {
-    let epochs = window::Epochs::new(0);
+    let epochs = epoch_window::EpochWindow::new(0);
 
     let is_contained = epochs.contains(epoch);
 
--- a/tests/unit/leading.rs
+++ b/tests/unit/leading.rs
@@ -104,7 +104,7 @@
     let minters = [peer("entry-0", 1), peer("entry-0", 2)];
 
     let verdict = runner.run(&ops(), |ops| {
-        let mut stock = leading::Stock::default();
+        let mut stock = leading::TicketStock::default();
         let (mut now_ms, mut next) = (0, 0);
         let mut of = None;
         let mut naive: collections::VecDeque<(u64, u64)> = collections::VecDeque::new();
--- a/tests/unit/retry.rs
+++ b/tests/unit/retry.rs
@@ -70,7 +70,7 @@
         for (pause, left, index) in plans {
             now_ms += pause;
             due += retries.due(now_ms).len();
-            if retries.plan(now_ms, now_ms + left, item(index), u64::from(index)) {
+            if retries.schedule(now_ms, now_ms + left, item(index), u64::from(index)) {
                 planned += 1;
                 latest_ms = latest_ms.max(now_ms + left - 1);
             }
