--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -40,12 +40,12 @@
         ticket: Option<ids::SubmissionId>,
     },
     /// Its claim is under way; look again at [`core::Action::ClaimSettled`].
-    Claiming(claims::Name),
+    Claiming(claims::ScopedId),
 }
 
 impl Reply {
     fn plain(id: Option<ids::SubmissionId>, code: codes::Code, is_final: bool) -> Self {
-        Self::Answer(Box::new(answer::plain(id, code, is_final)))
+        Self::Answer(Box::new(answer::bare(id, code, is_final)))
     }
 
     const fn forward(owner: wire::Peer, if_silent: (codes::Code, bool)) -> Self {
@@ -73,8 +73,8 @@
         if_silent: (codes::Code, bool),
     },
     Unknown(codes::Code, bool),
-    Unclaimed(claims::Name),
-    Claiming(claims::Name),
+    Unclaimed(claims::ScopedId),
+    Claiming(claims::ScopedId),
 }
 
 impl core::Core {
@@ -148,7 +148,7 @@
     fn begin_claim(
         &mut self,
         now_ms: u64,
-        name: claims::Name,
+        name: claims::ScopedId,
         id: ids::SubmissionId,
     ) -> (Reply, Vec<core::Action>) {
         if self.is_leaving || !self.claims.claim(now_ms, name.clone()) {
@@ -186,7 +186,7 @@
             return (Reply::Answer(Box::new(refusal)), Vec::new());
         }
         if let Some(name) = claiming::claim_name(team, &header.id) {
-            self.claims.set_used(&name);
+            self.claims.mark_used(&name);
         }
         self.counts.accepted += 1;
         let policy = &self.settings.policy;
@@ -213,7 +213,7 @@
 
     /// What is kept of the answer, or that it is to be waited for.
     fn told_again(&mut self, now_ms: u64, key: jobs::Key, id: &ids::SubmissionId) -> Reply {
-        self.jobs.ask(now_ms, key);
+        self.jobs.touch(now_ms, key);
         let known = self.jobs.get(key);
         let answer = known.and_then(|known| known.answer(Some(id)));
         answer.map_or(Reply::Open(key), |answer| Reply::Answer(Box::new(answer)))
@@ -236,7 +236,7 @@
         } = refusal;
         let plain = |id| api::Answer {
             retry_after_ms,
-            ..answer::plain(id, code, true)
+            ..answer::bare(id, code, true)
         };
         if !is_known_to_caller {
             return plain(None);
@@ -246,7 +246,7 @@
             return plain(id);
         }
         let refusal = plain(id);
-        let is_remembered = self.jobs.refuse(header, refusal.clone());
+        let is_remembered = self.jobs.insert_refusal(header, refusal.clone());
         api::Answer {
             is_final: is_remembered,
             ..refusal
@@ -260,7 +260,7 @@
     /// forgotten: the truth is "may have run".
     pub(crate) fn past_use(&self, team: &SmolStr, id: &ids::SubmissionId) -> Option<codes::Code> {
         let ids::SubmissionId::Ticket(ticket) = id else {
-            let used = claims::Standing::Mine { is_used: true };
+            let used = claims::ClaimState::Mine { is_used: true };
             let is_used = self.standing(team, id) == Some(used);
             return is_used.then_some(codes::Code::AnswerExpired);
         };
@@ -340,14 +340,14 @@
                 ids::SubmissionId::Own(_) => Owner::Unknown(codes::Code::BadTicket, true),
             };
         };
-        match self.claims.standing(&name) {
-            claims::Standing::Unclaimed => Owner::Unclaimed(name),
-            claims::Standing::Pending => Owner::Claiming(name),
-            claims::Standing::Mine { .. } => Owner::Here,
-            claims::Standing::Barred { is_mine } => {
+        match self.claims.state(&name) {
+            claims::ClaimState::Unclaimed => Owner::Unclaimed(name),
+            claims::ClaimState::Pending => Owner::Claiming(name),
+            claims::ClaimState::Mine { .. } => Owner::Here,
+            claims::ClaimState::Barred { is_mine } => {
                 Owner::Unknown(codes::Code::ClaimUnavailable, is_mine)
             }
-            claims::Standing::Other(by) => self.holder(now_ms, &by.entry, by.incarnation),
+            claims::ClaimState::Other(by) => self.holder(now_ms, &by.entry, by.incarnation),
         }
     }
 
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -12,7 +12,7 @@
 use smol_str::SmolStr;
 
 use crate::admission::drain;
-use crate::admission::returning;
+use crate::admission::retry_after;
 use crate::api;
 use crate::claims;
 use crate::claims::pace;
@@ -58,7 +58,7 @@
     /// Append this to the log's stream of claims and report when that ended.
     AppendClaims(claims::Record),
     /// Have the calls about this id looked at again.
-    ClaimSettled(claims::Name),
+    ClaimSettled(claims::ScopedId),
 }
 
 /// An attempt that was handed to a runner and is not settled.
@@ -146,15 +146,15 @@
     pub(crate) queue: queue::Queue,
     pub(crate) retries: retry::Retries,
     pub(crate) in_flight: flights::Flights,
-    pub(crate) drain: drain::Drain,
-    pub(crate) returning: returning::Returning,
+    pub(crate) drain: drain::DrainRate,
+    pub(crate) returning: retry_after::RefusedWork,
     /// An equal part of all slots in service, beside the other entries.
     pub(crate) part: f64,
     pub(crate) no_runner_since_ms: Option<u64>,
     pub(crate) learned: learning::Table,
     /// Slots in service, as of the last tick.
     pub(crate) slots: u32,
-    pub(crate) stock: leading::Stock,
+    pub(crate) stock: leading::TicketStock,
     pub(crate) next_attempt: u64,
     pub(crate) next_ticket: u64,
     pub(crate) is_leaving: bool,
@@ -194,13 +194,13 @@
             queue,
             retries,
             in_flight: flights::Flights::default(),
-            drain: drain::Drain::new(now_ms),
-            returning: returning::Returning::default(),
+            drain: drain::DrainRate::new(now_ms),
+            returning: retry_after::RefusedWork::default(),
             part: 0.0,
             no_runner_since_ms: Some(now_ms),
             learned: learning::Table::default(),
             slots: 0,
-            stock: leading::Stock::default(),
+            stock: leading::TicketStock::default(),
             next_attempt: 1,
             next_ticket: 1,
             is_leaving: false,
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -58,7 +58,7 @@
         })
     }
 
-    fn asked(&self, team: &SmolStr, submission: &api::Submission) -> admission::Asked {
+    fn asked(&self, team: &SmolStr, submission: &api::Submission) -> admission::Demand {
         let estimate = |task: &api::Task| {
             let estimate = self.estimate(team, task);
             (estimate.run_ms, estimate.is_learned)
@@ -66,15 +66,15 @@
         let expected: Vec<_> = submission.tasks.iter().map(estimate).collect();
         let deadline_ms = submission.deadline_ms;
         let deadline_ms = deadline_ms.unwrap_or_else(|| self.settings.timeouts.deadline_ms.into());
-        admission::ask(&submission.tasks, &expected, deadline_ms)
+        admission::demand(&submission.tasks, &expected, deadline_ms)
     }
 
     fn admission_code(
         &self,
         team: &SmolStr,
         submission: &api::Submission,
-        asked: &admission::Asked,
-        view: &admission::View,
+        asked: &admission::Demand,
+        view: &admission::LoadSnapshot,
     ) -> Option<codes::Code> {
         let needs = submission.tasks.iter();
         let needs: Vec<_> = needs.map(|task| self.need_of(team, task)).collect();
@@ -88,10 +88,10 @@
         admission::refusal(asked, view, quota, &self.settings)
     }
 
-    fn load_view(&self, now_ms: u64, team: &SmolStr) -> admission::View {
+    fn load_view(&self, now_ms: u64, team: &SmolStr) -> admission::LoadSnapshot {
         let teams = self.queue.teams();
         let own = teams.find(team);
-        admission::View {
+        admission::LoadSnapshot {
             queued: self.queue.len(),
             team_queued: own.map_or(0, |own| own.waiting),
             backlog_ms: self.queue.backlog_ms(),
@@ -123,13 +123,13 @@
         now_ms: u64,
         team: &SmolStr,
         code: codes::Code,
-        asked: &admission::Asked,
-        view: &admission::View,
+        asked: &admission::Demand,
+        view: &admission::LoadSnapshot,
     ) -> Option<u64> {
         if matches!(code, codes::Code::NeverFits | codes::Code::OverQuota) {
             return None;
         }
-        let key = self.queue.team(team);
+        let key = self.queue.team_key(team);
         let allowed = f64::from(self.settings.policy.max_queue_wait_ms);
         let allowed = allowed.min(asked.deadline_ms as f64);
         let excess_ms = view.wait_ms(0) - allowed;
@@ -149,19 +149,19 @@
         let name = open.header.team.clone();
         let expected = |task| {
             let estimate = self.estimate(&name, task);
-            order::Expected {
+            order::TaskEstimate {
                 run_ms: estimate.run_ms,
                 error_ms: estimate.error_ms,
             }
         };
         let expected: Vec<_> = open.tasks.iter().map(expected).collect();
-        let shape = order::Shape {
+        let shape = order::JobEstimate {
             longest_ms: order::longest_ms(&expected),
             work_ms: expected.iter().map(|one| one.run_ms).sum(),
             slots: slots_whole(self.drain.slots()),
         };
         let age_ms = u64::from(self.settings.policy.age_ms);
-        let team = self.queue.team(&name);
+        let team = self.queue.team_key(&name);
         let runs = expected.iter().map(|one| one.run_ms);
         for (index, expected_ms) in (0..).zip(runs) {
             self.queue.push(queue::Item {
@@ -239,8 +239,8 @@
             return;
         };
         let (team, expected_ms) = (flight.team, flight.expected_ms);
-        self.drain.done(expected_ms);
-        self.queue.recharge(team, expected_ms, run_ms.max(1));
+        self.drain.task_ended(expected_ms);
+        self.queue.adjust_charge(team, expected_ms, run_ms.max(1));
         // A task that failed or was stopped tells nothing of how long such tasks take:
         // a server that fails everything at once would teach that all are short.
         if code != codes::Code::Complete {
@@ -281,7 +281,11 @@
                 .run_time(team, kind, declared_ms, DEFAULT_RUN_MS);
             estimate.is_learned.then_some(estimate.run_ms)
         };
-        let nearing = self.jobs.due().nearing(now_ms, learned_ms).into_iter();
+        let nearing = self
+            .jobs
+            .due()
+            .near_deadline(now_ms, learned_ms)
+            .into_iter();
         let hopeless = nearing.filter(|key| self.is_hopeless(now_ms, *key));
         let hopeless: Vec<_> = hopeless.collect();
         let code = codes::Code::DeadlineNotRun;
@@ -297,7 +301,7 @@
         };
         let is_waiting =
             |(_, progress): (u32, &jobs::Progress)| matches!(progress, jobs::Progress::Queued);
-        if open.verdict().is_some() || !open.all().all(is_waiting) {
+        if open.give_up_reason().is_some() || !open.iter_progress().all(is_waiting) {
             return false;
         }
         let left_ms = open.header.deadline_ms.saturating_sub(now_ms);
@@ -305,7 +309,7 @@
         let estimates = estimates.map(|task| self.estimate(&open.header.team, task));
         let longest = estimates.max_by_key(|estimate| estimate.run_ms);
         let known = longest.filter(|longest| longest.is_learned);
-        admission::is_hopeless(left_ms, known.map(|known| known.run_ms))
+        admission::is_infeasible(left_ms, known.map(|known| known.run_ms))
     }
 }
 
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -6,11 +6,11 @@
 
 use crate::api;
 use crate::codes;
+use crate::epoch_window;
 use crate::ids;
 use crate::jobs;
 use crate::jobs::due;
 use crate::jobs::summary;
-use crate::window;
 
 slotmap::new_key_type! {
     /// Key of a submission; never valid for another one.
@@ -67,10 +67,10 @@
 /// The submissions.
 #[derive(Debug)]
 pub struct Table {
-    epochs: window::Epochs,
+    epochs: epoch_window::EpochWindow,
     lines: slotmap::SlotMap<Key, Line>,
     names: collections::HashMap<Name, Key>,
-    due: due::Due,
+    due: due::DueIndex,
     /// Whole answers, and when they were told.
     told: collections::VecDeque<(u64, Key)>,
     paused_ms: u64,
@@ -82,10 +82,10 @@
     /// Starts empty, in the first epoch.
     pub fn new(now_ms: u64) -> Self {
         Self {
-            epochs: window::Epochs::new(now_ms),
+            epochs: epoch_window::EpochWindow::new(now_ms),
             lines: slotmap::SlotMap::with_key(),
             names: collections::HashMap::new(),
-            due: due::Due::default(),
+            due: due::DueIndex::default(),
             told: collections::VecDeque::new(),
             paused_ms: 0,
             open: 0,
@@ -94,7 +94,7 @@
     }
 
     /// The epochs by which tickets are minted and checked.
-    pub const fn epochs(&self) -> window::Epochs {
+    pub const fn epochs(&self) -> epoch_window::EpochWindow {
         self.epochs
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Which submissions are to be looked at again.
-    pub const fn due(&self) -> &due::Due {
+    pub const fn due(&self) -> &due::DueIndex {
         &self.due
     }
 
@@ -157,8 +157,8 @@
         let Some(Submission::Open(open)) = self.lines.get(key).map(|line| &line.submission) else {
             return;
         };
-        if let Some(verdict) = open.verdict() {
-            self.due.give_up(key, open, verdict.at_ms);
+        if let Some(reason) = open.give_up_reason() {
+            self.due.give_up(key, open, reason.at_ms);
         }
     }
 
@@ -205,7 +205,7 @@
     /// its way a second time, and would start when it finds room; its caller, who
     /// trusted the refusal, has submitted anew by then. Gives whether there was room
     /// to remember it.
-    pub fn refuse(&mut self, header: jobs::Header, answer: api::Answer) -> bool {
+    pub fn insert_refusal(&mut self, header: jobs::Header, answer: api::Answer) -> bool {
         if self.refusals >= MAX_REFUSALS {
             return false;
         }
@@ -246,19 +246,19 @@
     }
 
     /// A caller asks for the answer: it stays whole for a while longer.
-    pub fn ask(&mut self, now_ms: u64, key: Key) {
+    pub fn touch(&mut self, now_ms: u64, key: Key) {
         if let Some(line) = self.lines.get_mut(key) {
             line.told_ms = now_ms.saturating_sub(self.paused_ms);
         }
     }
 
     /// This process stood still for so long, and nobody could ask for an answer.
-    pub const fn forgive(&mut self, paused_ms: u64) {
+    pub const fn exclude_pause(&mut self, paused_ms: u64) {
         self.paused_ms += paused_ms;
     }
 
     /// Keeps only summaries of answers that nobody was told or asked for in that time.
-    pub fn shorten(&mut self, now_ms: u64, whole_ms: u64) {
+    pub fn compact(&mut self, now_ms: u64, whole_ms: u64) {
         let now_ms = now_ms.saturating_sub(self.paused_ms);
         while let Some((told_ms, key)) = self.told.front().copied() {
             if told_ms.saturating_add(whole_ms) > now_ms {
