--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -24,7 +24,7 @@
 use crate::leading;
 use crate::learning;
 use crate::membership;
-use crate::membership::naming;
+use crate::membership::entry_list;
 use crate::queue;
 use crate::ramp;
 use crate::retry;
@@ -320,7 +320,8 @@
     }
 
     fn heartbeat_reply(&self, now_ms: u64, held: Option<u64>) -> wire::HeartbeatReply {
-        let named = naming::Named::new(self.me.incarnation, self.live_entries(now_ms), held);
+        let named =
+            entry_list::EntryList::new(self.me.incarnation, self.live_entries(now_ms), held);
         wire::HeartbeatReply {
             version: wire::VERSION,
             sender: self.me.clone(),
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 
 use crate::ids;
-use crate::membership::naming;
+use crate::membership::entry_list;
 use crate::wire;
 
 /// One address to send to.
@@ -21,7 +21,7 @@
     pub incarnation: Option<ids::Incarnation>,
     /// Whether to use a new connection, because the last call brought no answer.
     pub is_afresh: bool,
-    /// The list of entries that it told last, see [`naming`].
+    /// The list of entries that it told last, see [`entry_list`].
     pub entries_held: Option<u64>,
 }
 
@@ -31,7 +31,7 @@
     peer: Option<wire::Peer>,
     heard_ms: u64,
     is_failing: bool,
-    told: Option<naming::Told>,
+    told: Option<entry_list::CachedList>,
 }
 
 /// The addresses known.
@@ -59,7 +59,7 @@
             address: address.clone(),
             incarnation: contact.peer.as_ref().map(|peer| peer.incarnation),
             is_afresh: contact.is_failing,
-            entries_held: contact.told.as_ref().map(naming::Told::digest),
+            entries_held: contact.told.as_ref().map(entry_list::CachedList::digest),
         };
         self.by_address.iter().map(target).collect()
     }
@@ -81,7 +81,7 @@
     /// Puts the entries into an answer that left them out.
     pub fn restore(&mut self, address: &SmolStr, reply: &mut wire::HeartbeatReply) {
         if let Some(contact) = self.by_address.get_mut(address) {
-            naming::Told::restore(&mut contact.told, reply);
+            entry_list::CachedList::restore(&mut contact.told, reply);
         }
     }
 
--- a/src/membership/naming.rs
+++ b/src/membership/entry_list.rs
@@ -14,14 +14,14 @@
 
 /// The entries as an answer names them.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Named {
+pub struct EntryList {
     /// The entries; none where the asker holds them.
     pub entries: Vec<wire::Peer>,
     /// What to ask with next time; none where the asker has it.
     pub digest: Option<u64>,
 }
 
-impl Named {
+impl EntryList {
     /// What that life of a process names to an asker that holds the list with that digest.
     pub fn new(by: ids::Incarnation, entries: Vec<wire::Peer>, held: Option<u64>) -> Self {
         let digest = digest(by, &entries);
@@ -49,13 +49,13 @@
 
 /// A list that one life of a process told.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct CachedList {
     by: ids::Incarnation,
     digest: u64,
     entries: Vec<wire::Peer>,
 }
 
-impl Told {
+impl CachedList {
     /// What to ask with.
     pub const fn digest(&self) -> u64 {
         self.digest
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod announcements;
 pub mod contacts;
-pub mod naming;
+pub mod entry_list;
 
 use std::collections;
 
--- a/src/runner/hearing.rs
+++ b/src/runner/hearing.rs
@@ -4,7 +4,7 @@
 
 use crate::clock;
 use crate::heartbeats;
-use crate::membership::naming;
+use crate::membership::entry_list;
 use crate::runner::control;
 use crate::runner::messages;
 use crate::streams;
@@ -24,7 +24,8 @@
         }
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
         let live = self.contacts.live(since_ms).cloned().collect();
-        let named = naming::Named::new(self.core.me().incarnation, live, message.0.entries_held);
+        let named =
+            entry_list::EntryList::new(self.core.me().incarnation, live, message.0.entries_held);
         actix::MessageResult(wire::HeartbeatReply {
             version: wire::VERSION,
             sender: self.core.me().clone(),
--- a/tests/unit/naming.rs
+++ b/tests/unit/entry_list.rs
@@ -2,7 +2,7 @@
 
 use bulrushtiller::ids;
 use bulrushtiller::membership::contacts;
-use bulrushtiller::membership::naming;
+use bulrushtiller::membership::entry_list;
 use bulrushtiller::wire;
 use proptest::collection;
 use proptest::prelude::Strategy;
@@ -54,7 +54,8 @@
         if self.is_earlier {
             return reply(self.life, self.entries.clone(), None);
         }
-        let named = naming::Named::new(ids::Incarnation(self.life), self.entries.clone(), held);
+        let named =
+            entry_list::EntryList::new(ids::Incarnation(self.life), self.entries.clone(), held);
         reply(self.life, named.entries, named.digest)
     }
 }
@@ -148,13 +149,13 @@
 
     let life = ids::Incarnation(5);
 
-    let first = naming::Named::new(life, entries.clone(), None);
-    let again = naming::Named::new(life, reversed, first.digest);
-    let changed = naming::Named::new(life, vec![peer(1, 2), peer(2, 1)], first.digest);
-    let successor = naming::Named::new(ids::Incarnation(6), entries.clone(), first.digest);
+    let first = entry_list::EntryList::new(life, entries.clone(), None);
+    let again = entry_list::EntryList::new(life, reversed, first.digest);
+    let changed = entry_list::EntryList::new(life, vec![peer(1, 2), peer(2, 1)], first.digest);
+    let successor = entry_list::EntryList::new(ids::Incarnation(6), entries.clone(), first.digest);
 
     assert_eq!(first.entries, entries);
-    assert_eq!(again, naming::Named::default());
+    assert_eq!(again, entry_list::EntryList::default());
     assert_eq!(changed.entries.len(), 2);
     assert_eq!(successor.entries, entries);
     assert_ne!(changed.digest, first.digest);
