--- a/src/entry/hearing.rs
+++ b/src/entry/hearing.rs
@@ -59,7 +59,10 @@
         let now_ms = self.now_ms();
         let dead_after_ms = self.core.settings().timeouts.dead_after_ms;
         let since_ms = now_ms.saturating_sub(dead_after_ms.into());
-        if self.search.is_due(now_ms, self.contacts.is_alone(since_ms)) {
+        if self
+            .search
+            .is_due(now_ms, self.contacts.is_isolated(since_ms))
+        {
             self.announce(cx);
         }
     }
@@ -79,7 +82,7 @@
         let timeouts = self.core.settings().timeouts;
         let limit = time::Duration::from_millis(u64::from(timeouts.dead_after_ms) / 2);
         self.contacts
-            .drop_silent(now_ms, u64::from(timeouts.dead_after_ms) * 20);
+            .remove_silent(now_ms, u64::from(timeouts.dead_after_ms) * 20);
         let mut targets = self.contacts.targets();
         targets.extend(self.core.foreign_runners(now_ms));
         for target in targets {
@@ -107,7 +110,7 @@
     fn handle(&mut self, message: messages::Heard, cx: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
         if message.0.sender.role == wire::Role::Entry {
-            self.contacts.hear_of(now_ms, &message.0.sender);
+            self.contacts.add_peer(now_ms, &message.0.sender);
         }
         let (reply, actions) = self.core.heartbeat(now_ms, &message.0);
         self.act(cx, actions);
@@ -121,11 +124,11 @@
     fn handle(&mut self, message: heartbeats::HeartbeatDone, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         let Some(mut reply) = message.reply else {
-            self.contacts.failed(&message.address);
+            self.contacts.record_failure(&message.address);
             return;
         };
-        self.contacts.restore(&message.address, &mut reply);
-        self.contacts.answered(now_ms, &message.address, &reply);
+        self.contacts.restore_entries(&message.address, &mut reply);
+        self.contacts.record_reply(now_ms, &message.address, &reply);
         let is_behind = self
             .core
             .heartbeat_answered(now_ms, message.asked_ms, &reply);
@@ -178,7 +181,7 @@
     fn handle(&mut self, message: streams::MembersRead, _cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         for peer in &message.peers {
-            self.contacts.hear_of(now_ms, peer);
+            self.contacts.add_peer(now_ms, peer);
         }
     }
 }
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -127,7 +127,7 @@
         let target = |runner: &membership::Runner| contacts::Target {
             address: runner.peer.address.clone(),
             incarnation: Some(runner.peer.incarnation),
-            is_afresh: false,
+            needs_new_connection: false,
             entries_held: None,
         };
         by_zone.into_values().map(target).collect()
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -49,7 +49,7 @@
         let asked_ms = clock.now_ms();
         let address = target.address;
         let path = wire::HEARTBEAT_PATH;
-        let reply = if target.is_afresh {
+        let reply = if target.needs_new_connection {
             outgoing::post_afresh(&address, path, &heartbeat, limit).await
         } else {
             outgoing::post(&client, &address, path, &heartbeat, limit).await
--- a/src/membership/announcements.rs
+++ b/src/membership/announcements.rs
@@ -47,7 +47,7 @@
 /// The entries to try: the latest life of each name, those announced last first.
 ///
 /// An earlier life of a name is over, however late its announcement came.
-pub fn choose(announcements: &[Announcement], own: &SmolStr) -> Vec<wire::Peer> {
+pub fn latest_entries(announcements: &[Announcement], own: &SmolStr) -> Vec<wire::Peer> {
     let mut latest: collections::BTreeMap<&SmolStr, (usize, &wire::Peer)> =
         collections::BTreeMap::new();
     for (at, announcement) in announcements.iter().enumerate() {
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -20,7 +20,7 @@
     /// The life that last answered there.
     pub incarnation: Option<ids::Incarnation>,
     /// Whether to use a new connection, because the last call brought no answer.
-    pub is_afresh: bool,
+    pub needs_new_connection: bool,
     /// The list of entries that it told last, see [`entry_list`].
     pub entries_held: Option<u64>,
 }
@@ -58,14 +58,14 @@
         let target = |(address, contact): (&SmolStr, &Contact)| Target {
             address: address.clone(),
             incarnation: contact.peer.as_ref().map(|peer| peer.incarnation),
-            is_afresh: contact.is_failing,
+            needs_new_connection: contact.is_failing,
             entries_held: contact.told.as_ref().map(entry_list::CachedList::digest),
         };
         self.by_address.iter().map(target).collect()
     }
 
     /// Whether no address has answered since `since_ms`.
-    pub fn is_alone(&self, since_ms: u64) -> bool {
+    pub fn is_isolated(&self, since_ms: u64) -> bool {
         self.live(since_ms).next().is_none()
     }
 
@@ -79,26 +79,26 @@
     }
 
     /// Puts the entries into an answer that left them out.
-    pub fn restore(&mut self, address: &SmolStr, reply: &mut wire::HeartbeatReply) {
+    pub fn restore_entries(&mut self, address: &SmolStr, reply: &mut wire::HeartbeatReply) {
         if let Some(contact) = self.by_address.get_mut(address) {
             entry_list::CachedList::restore(&mut contact.told, reply);
         }
     }
 
-    /// An address answered; see [`Contacts::restore`] before.
-    pub fn answered(&mut self, now_ms: u64, address: &SmolStr, reply: &wire::HeartbeatReply) {
+    /// An address answered; see [`Contacts::restore_entries`] before.
+    pub fn record_reply(&mut self, now_ms: u64, address: &SmolStr, reply: &wire::HeartbeatReply) {
         if let Some(contact) = self.by_address.get_mut(address) {
             contact.heard_ms = now_ms;
             contact.is_failing = false;
             contact.peer = Some(reply.sender.clone());
         }
         for peer in &reply.entries {
-            self.hear_of(now_ms, peer);
+            self.add_peer(now_ms, peer);
         }
     }
 
     /// An entry was named, or called here itself.
-    pub fn hear_of(&mut self, now_ms: u64, peer: &wire::Peer) {
+    pub fn add_peer(&mut self, now_ms: u64, peer: &wire::Peer) {
         if peer.address == self.own {
             return;
         }
@@ -110,14 +110,14 @@
     }
 
     /// An address did not answer.
-    pub fn failed(&mut self, address: &SmolStr) {
+    pub fn record_failure(&mut self, address: &SmolStr) {
         if let Some(contact) = self.by_address.get_mut(address) {
             contact.is_failing = true;
         }
     }
 
     /// Drops what was only named and has been silent for so long.
-    pub fn drop_silent(&mut self, now_ms: u64, after_ms: u64) {
+    pub fn remove_silent(&mut self, now_ms: u64, after_ms: u64) {
         self.by_address.retain(|_, contact| {
             contact.is_seed || contact.heard_ms.saturating_add(after_ms) > now_ms
         });
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -171,7 +171,7 @@
         let timeouts = self.timeouts();
         let limit = time::Duration::from_millis(u64::from(timeouts.dead_after_ms) / 2);
         self.contacts
-            .drop_silent(now_ms, u64::from(timeouts.dead_after_ms) * 20);
+            .remove_silent(now_ms, u64::from(timeouts.dead_after_ms) * 20);
         for target in self.contacts.targets() {
             let heartbeat = self.heartbeat_for(now_ms, &target);
             let done = cx.address().recipient();
@@ -231,7 +231,7 @@
     fn search_entries_if_alone(&mut self, cx: &actix::Context<Self>) {
         let now_ms = self.now_ms();
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
-        let is_alone = self.contacts.is_alone(since_ms);
+        let is_alone = self.contacts.is_isolated(since_ms);
         if !self.search.is_due(now_ms, is_alone) {
             return;
         }
--- a/src/runner/hearing.rs
+++ b/src/runner/hearing.rs
@@ -20,7 +20,7 @@
     fn handle(&mut self, message: messages::Heard, _cx: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
         if message.0.sender.role == wire::Role::Entry {
-            self.contacts.hear_of(now_ms, &message.0.sender);
+            self.contacts.add_peer(now_ms, &message.0.sender);
         }
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
         let live = self.contacts.live(since_ms).cloned().collect();
@@ -46,12 +46,12 @@
 
     fn handle(&mut self, message: heartbeats::HeartbeatDone, cx: &mut Self::Context) {
         let Some(mut reply) = message.reply else {
-            self.contacts.failed(&message.address);
+            self.contacts.record_failure(&message.address);
             return;
         };
-        self.contacts.restore(&message.address, &mut reply);
+        self.contacts.restore_entries(&message.address, &mut reply);
         self.contacts
-            .answered(self.now_ms(), &message.address, &reply);
+            .record_reply(self.now_ms(), &message.address, &reply);
         let is_behind = reply.revision > self.keeper.state().revision();
         if is_behind || self.keeper.is_lacking() {
             let position = self.keeper.state().position();
@@ -110,7 +110,7 @@
     fn handle(&mut self, message: streams::MembersRead, _cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         for peer in &message.peers {
-            self.contacts.hear_of(now_ms, peer);
+            self.contacts.add_peer(now_ms, peer);
         }
     }
 }
--- a/src/streams.rs
+++ b/src/streams.rs
@@ -169,7 +169,7 @@
     let announcements: Vec<announcements::Announcement> = records
         .filter_map(|item| serde_json::from_value(item.record).ok())
         .collect();
-    let peers = announcements::choose(&announcements, own);
+    let peers = announcements::latest_entries(&announcements, own);
     done.do_send(MembersRead { peers });
 }
 
--- a/tests/unit/entry_list.rs
+++ b/tests/unit/entry_list.rs
@@ -121,7 +121,7 @@
         };
         before = now;
         let mut answer = other.answer(asked_with);
-        contacts.restore(&ADDRESS, &mut answer);
+        contacts.restore_entries(&ADDRESS, &mut answer);
         // A late answer may stand for the list asked with; the next one is right again.
         if asked_with == now {
             prop_assert_eq!(sorted(&answer.entries), sorted(&other.entries));
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -99,13 +99,13 @@
 fn apply(contacts: &mut contacts::Contacts, now_ms: u64, op: Op) {
     let entry = |place| peer(wire::Role::Entry, place, 1, place);
     match op {
-        Op::Named(place) => contacts.hear_of(now_ms, &entry(place)),
+        Op::Named(place) => contacts.add_peer(now_ms, &entry(place)),
         Op::Answered(from, named) => {
             let reply = reply(entry(from), vec![entry(named)]);
-            contacts.answered(now_ms, &address(from), &reply);
+            contacts.record_reply(now_ms, &address(from), &reply);
         }
-        Op::Failed(place) => contacts.failed(&address(place)),
-        Op::Drop => contacts.drop_silent(now_ms, SILENT_MS),
+        Op::Failed(place) => contacts.record_failure(&address(place)),
+        Op::Drop => contacts.remove_silent(now_ms, SILENT_MS),
     }
 }
 
@@ -139,15 +139,15 @@
 fn process_is_alone_until_a_contact_answers() {
     let seed = SmolStr::new(SEED);
     let mut contacts = contacts::Contacts::new(SmolStr::new(OWN), std::slice::from_ref(&seed));
-    contacts.hear_of(10, &peer(wire::Role::Entry, 2, 1, 2));
-    let before = contacts.is_alone(0);
+    contacts.add_peer(10, &peer(wire::Role::Entry, 2, 1, 2));
+    let before = contacts.is_isolated(0);
 
     let sender = peer(wire::Role::Entry, 1, 1, 1);
-    contacts.answered(20, &seed, &reply(sender, Vec::new()));
+    contacts.record_reply(20, &seed, &reply(sender, Vec::new()));
 
     assert!(before, "to be named is not to have answered");
-    assert!(!contacts.is_alone(20));
-    assert!(contacts.is_alone(21));
+    assert!(!contacts.is_isolated(20));
+    assert!(contacts.is_isolated(21));
 }
 
 fn heartbeat(sender: wire::Peer, sequence: u64) -> wire::Heartbeat {
@@ -229,7 +229,7 @@
                 peer: peer(wire::Role::Entry, name, life, name * 10 + life),
             })
             .collect();
-        let chosen = announcements::choose(&announced, &own);
+        let chosen = announcements::latest_entries(&announced, &own);
         prop_assert_eq!(chosen, naive_choice(&announced, &own));
         Ok(())
     });
