--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -59,8 +59,8 @@
 
     fn hear_load(&mut self, key: membership::RunnerKey, now_ms: u64, load: wire::Load) {
         if let Some(runner) = self.members.runner_mut(key) {
-            runner.heard_ms = runner.heard_ms.max(now_ms);
-            runner.hear_load(load);
+            runner.last_seen_ms = runner.last_seen_ms.max(now_ms);
+            runner.update_load(load);
         }
     }
 
@@ -98,7 +98,7 @@
         };
         if code == codes::Code::ZoneOut {
             let zone = runner.peer.zone.clone();
-            self.members.close_zone(&zone, now_ms + heartbeat_ms);
+            self.members.back_off_zone(&zone, now_ms + heartbeat_ms);
             return;
         }
         let pause_ms = match code {
@@ -110,7 +110,7 @@
             codes::Code::Fenced | codes::Code::NeverFits => return,
             _ => heartbeat_ms,
         };
-        runner.closed_until_ms = now_ms + pause_ms;
+        runner.backoff_until_ms = now_ms + pause_ms;
     }
 
     /// A runner answered a question.
@@ -318,7 +318,7 @@
     fn take(&mut self, number: u64) -> Option<core::InFlight> {
         let flight = self.in_flight.remove(number)?;
         if let Some(runner) = self.members.runner_mut(flight.runner) {
-            runner.settled(&flight.need);
+            runner.remove_in_flight(&flight.need);
         }
         self.queue.released(flight.team);
         Some(flight)
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -367,7 +367,7 @@
         }
         let dead_after = u64::from(self.settings.timeouts.dead_after_ms);
         if let Some(entry) = self.members.entry(name, incarnation) {
-            let is_dead = entry.heard_ms.saturating_add(dead_after) <= now_ms;
+            let is_dead = entry.last_seen_ms.saturating_add(dead_after) <= now_ms;
             return Owner::Other {
                 owner: entry.peer.clone(),
                 if_silent: if is_dead { GONE } else { SILENT },
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -295,20 +295,20 @@
         let mut tickets = None;
         match heartbeat.sender.role {
             wire::Role::Runner => {
-                let heard = self.members.hear_runner(now_ms, heartbeat);
-                if let membership::Heard::Replaced(old) = heard {
+                let heard = self.members.record_runner(now_ms, heartbeat);
+                if let membership::Update::Replaced(old) = heard {
                     actions.extend(self.runner_over(now_ms, old));
-                    self.members.remove_past_life(old);
+                    self.members.remove_replaced(old);
                 }
                 actions.extend(self.pump(now_ms));
             }
             wire::Role::Entry => {
-                let news = membership::EntryNews {
+                let news = membership::EntryStatus {
                     is_leaving: heartbeat.leaving,
                     revision: heartbeat.revision,
                     slots: heartbeat.slots,
                 };
-                self.members.hear_entry(now_ms, &heartbeat.sender, news);
+                self.members.record_entry(now_ms, &heartbeat.sender, news);
                 tickets = self.grant_tickets(heartbeat.tickets);
             }
         }
@@ -342,7 +342,7 @@
         let live = self
             .members
             .entries()
-            .filter(|entry| !entry.is_leaving && entry.heard_ms.saturating_add(bound) > now_ms);
+            .filter(|entry| !entry.is_leaving && entry.last_seen_ms.saturating_add(bound) > now_ms);
         live.map(|entry| entry.peer.clone()).collect()
     }
 
@@ -361,7 +361,7 @@
             .iter()
             .filter(|peer| peer.name != self.me.name)
         {
-            self.members.hear_of_entry(now_ms, peer);
+            self.members.record_named_entry(now_ms, peer);
         }
         if reply.revision > self.revision {
             return true;
@@ -373,12 +373,12 @@
     }
 
     fn hear_reply(&mut self, now_ms: u64, reply: &wire::HeartbeatReply) {
-        let news = membership::EntryNews {
+        let news = membership::EntryStatus {
             is_leaving: reply.leaving,
             revision: reply.revision,
             slots: reply.slots,
         };
-        self.members.hear_entry(now_ms, &reply.sender, news);
+        self.members.record_entry(now_ms, &reply.sender, news);
         let runners = &reply.bad_runners;
         self.warnings.hear(now_ms, &reply.sender.name, runners);
         if let Some(tickets) = reply.tickets {
--- a/src/entry/passing.rs
+++ b/src/entry/passing.rs
@@ -19,7 +19,7 @@
         });
         let silent_after_ms = self.silent_after_ms();
         let is_heard = move |entry: &&membership::Entry| {
-            !entry.is_leaving && entry.heard_ms.saturating_add(silent_after_ms) > now_ms
+            !entry.is_leaving && entry.last_seen_ms.saturating_add(silent_after_ms) > now_ms
         };
         let others = self.members.entries().filter(is_heard);
         let others = others.map(|entry| leading::Candidate {
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -151,8 +151,8 @@
         let zones_out = self.settings.zones_out();
         self.members.runners().filter(move |(_, runner)| {
             !runner.is_leaving
-                && runner.closed_until_ms <= now_ms
-                && runner.heard_ms.saturating_add(silent_after) > now_ms
+                && runner.backoff_until_ms <= now_ms
+                && runner.last_seen_ms.saturating_add(silent_after) > now_ms
                 && !zones_out.contains(&runner.peer.zone)
         })
     }
@@ -200,7 +200,7 @@
             free_slots,
             parked: waiting.min(runner.in_flight),
             room,
-            free: runner.free(),
+            free: runner.free_resources(),
             size: runner.load.size,
         })
     }
@@ -233,7 +233,7 @@
         let runner = self.members.runner_mut(key)?;
         let had_slot = runner.free_slots() > 0;
         open.dispatched(item.task.index, attempt);
-        runner.sent(&need);
+        runner.add_in_flight(&need);
         let timeouts = &self.settings.timeouts;
         let dispatch = wire::Dispatch {
             version: wire::VERSION,
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -119,7 +119,7 @@
         let dead_after = u64::from(self.settings.timeouts.dead_after_ms);
         let mut by_zone = collections::BTreeMap::new();
         for (_, runner) in self.members.runners() {
-            let is_live = runner.heard_ms.saturating_add(dead_after) > now_ms;
+            let is_live = runner.last_seen_ms.saturating_add(dead_after) > now_ms;
             if is_live && runner.peer.zone != self.me.zone {
                 by_zone.insert(runner.peer.zone.clone(), runner);
             }
@@ -171,7 +171,7 @@
             name: entry.peer.name.clone(),
             address: entry.peer.address.clone(),
             zone: entry.peer.zone.clone(),
-            state: self.state(now_ms, entry.heard_ms, entry.is_leaving),
+            state: self.state(now_ms, entry.last_seen_ms, entry.is_leaving),
             revision: entry.revision,
             busy: 0,
             slots: 0,
@@ -184,7 +184,7 @@
         key: membership::RunnerKey,
         runner: &membership::Runner,
     ) -> SmolStr {
-        let heard = self.state(now_ms, runner.heard_ms, runner.is_leaving);
+        let heard = self.state(now_ms, runner.last_seen_ms, runner.is_leaving);
         match self.health.state(key).word(now_ms) {
             Some(word) if heard == "alive" => SmolStr::new_static(word),
             _ => heard,
--- a/src/entry/tick.rs
+++ b/src/entry/tick.rs
@@ -34,7 +34,7 @@
         actions.extend(self.expire_claims(now_ms));
         actions.extend(self.append_claims(now_ms));
         self.members
-            .forget_silent(now_ms, dead_after * FORGET_FACTOR);
+            .remove_silent(now_ms, dead_after * FORGET_FACTOR);
         let members = &self.members;
         self.health
             .retain(|runner| members.runner(runner).is_some());
@@ -63,7 +63,7 @@
         let gap = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = now_ms;
         if gap > PAUSE_MS {
-            self.members.forgive(gap);
+            self.members.shift_last_seen(gap);
             self.jobs.forgive(gap);
         }
     }
@@ -119,7 +119,7 @@
 
     fn end_dead_runners(&mut self, now_ms: u64, dead_after: u64) -> Vec<core::Action> {
         let is_dead = |runner: &membership::Runner| {
-            runner.in_flight > 0 && runner.heard_ms.saturating_add(dead_after) <= now_ms
+            runner.in_flight > 0 && runner.last_seen_ms.saturating_add(dead_after) <= now_ms
         };
         let dead = self.members.runners().filter(|(_, runner)| is_dead(runner));
         let dead: Vec<_> = dead.map(|(key, _)| key).collect();
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -30,12 +30,12 @@
     /// Its load as last heard.
     pub load: wire::Load,
     /// When it was last heard, monotonic milliseconds.
-    pub heard_ms: u64,
+    pub last_seen_ms: u64,
     /// Whether it said that it is stopping.
     pub is_leaving: bool,
     /// Until when it is sent nothing: it refused for a reason that lasts, or could
     /// not be connected to.
-    pub closed_until_ms: u64,
+    pub backoff_until_ms: u64,
     /// Revision of the settings in force there, as last heard.
     pub revision: Option<u64>,
     /// Tasks of this entry handed to it and not settled.
@@ -50,7 +50,7 @@
     /// Who it is.
     pub peer: wire::Peer,
     /// When it was last heard, monotonic milliseconds.
-    pub heard_ms: u64,
+    pub last_seen_ms: u64,
     /// Whether it said that it is stopping.
     pub is_leaving: bool,
     /// Revision of the settings in force there, as last heard.
@@ -61,7 +61,7 @@
 
 /// What an entry said of itself.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct EntryNews {
+pub struct EntryStatus {
     /// Whether it is stopping.
     pub is_leaving: bool,
     /// Revision of the settings in force there.
@@ -72,9 +72,9 @@
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Heard {
+pub enum Update {
     /// Nothing worth telling.
-    Same,
+    Unchanged,
     /// A process not known before.
     New,
     /// Another life of a known runner; the life under the key is over.
@@ -94,29 +94,29 @@
 
 impl Members {
     /// A runner said that it is there.
-    pub fn hear_runner(&mut self, now_ms: u64, heartbeat: &wire::Heartbeat) -> Heard {
+    pub fn record_runner(&mut self, now_ms: u64, heartbeat: &wire::Heartbeat) -> Update {
         let Some(load) = heartbeat.load else {
-            return Heard::Stale;
+            return Update::Stale;
         };
         let known = self.by_name.get(&heartbeat.sender.name).copied();
         let Some((key, runner)) = known.and_then(|key| Some((key, self.runners.get_mut(key)?)))
         else {
             self.add_runner(now_ms, heartbeat, load);
-            return Heard::New;
+            return Update::New;
         };
         if heartbeat.sender.incarnation < runner.peer.incarnation {
-            return Heard::Stale;
+            return Update::Stale;
         }
         if heartbeat.sender.incarnation > runner.peer.incarnation {
             self.add_runner(now_ms, heartbeat, load);
-            return Heard::Replaced(key);
+            return Update::Replaced(key);
         }
-        runner.heard_ms = now_ms;
+        runner.last_seen_ms = now_ms;
         runner.is_leaving |= heartbeat.leaving;
         runner.revision = heartbeat.revision;
         runner.peer = heartbeat.sender.clone();
-        runner.hear_load(load);
-        Heard::Same
+        runner.update_load(load);
+        Update::Unchanged
     }
 
     fn add_runner(&mut self, now_ms: u64, heartbeat: &wire::Heartbeat, load: wire::Load) {
@@ -125,9 +125,9 @@
             peer: heartbeat.sender.clone(),
             rack,
             load,
-            heard_ms: now_ms,
+            last_seen_ms: now_ms,
             is_leaving: heartbeat.leaving,
-            closed_until_ms: 0,
+            backoff_until_ms: 0,
             revision: heartbeat.revision,
             in_flight: 0,
             in_flight_used: wire::Resources::default(),
@@ -144,22 +144,22 @@
     ///
     /// The first refusal from a zone that was taken out tells for all its runners;
     /// without this each of them would refuse once.
-    pub fn close_zone(&mut self, zone: &str, until_ms: u64) {
+    pub fn back_off_zone(&mut self, zone: &str, until_ms: u64) {
         let of_zone = self.runners.values_mut();
         for runner in of_zone.filter(|runner| runner.peer.zone == zone) {
-            runner.closed_until_ms = runner.closed_until_ms.max(until_ms);
+            runner.backoff_until_ms = runner.backoff_until_ms.max(until_ms);
         }
     }
 
     /// An entry said that it is there, or another named it.
-    pub fn hear_entry(&mut self, now_ms: u64, peer: &wire::Peer, news: EntryNews) {
+    pub fn record_entry(&mut self, now_ms: u64, peer: &wire::Peer, news: EntryStatus) {
         let known = self.entries.get(&peer.name);
         if known.is_some_and(|known| known.peer.incarnation > peer.incarnation) {
             return;
         }
         let entry = Entry {
             peer: peer.clone(),
-            heard_ms: now_ms,
+            last_seen_ms: now_ms,
             is_leaving: news.is_leaving,
             revision: news.revision,
             slots: news.slots,
@@ -168,10 +168,10 @@
     }
 
     /// Another entry named one that this one may not have heard itself.
-    pub fn hear_of_entry(&mut self, now_ms: u64, peer: &wire::Peer) {
+    pub fn record_named_entry(&mut self, now_ms: u64, peer: &wire::Peer) {
         let known = self.entries.get(&peer.name);
         if known.is_none_or(|known| known.peer.incarnation < peer.incarnation) {
-            self.hear_entry(now_ms, peer, EntryNews::default());
+            self.record_entry(now_ms, peer, EntryStatus::default());
         }
     }
 
@@ -190,7 +190,7 @@
     /// A runner that is replaced within two heartbeats was heard lately in both lives.
     /// If the past one were kept until it is silent, it would be sent work, all of which
     /// is refused or lost, and its slots would count twice.
-    pub fn remove_past_life(&mut self, key: RunnerKey) {
+    pub fn remove_replaced(&mut self, key: RunnerKey) {
         let is_current = |runner: &Runner| self.by_name.get(&runner.peer.name) == Some(&key);
         if self
             .runners
@@ -226,26 +226,27 @@
     }
 
     /// Forgets runners that were silent for so long and have nothing in flight.
-    pub fn forget_silent(&mut self, now_ms: u64, after_ms: u64) {
+    pub fn remove_silent(&mut self, now_ms: u64, after_ms: u64) {
         let by_name = &mut self.by_name;
         self.runners.retain(|key, runner| {
-            let is_kept = runner.in_flight > 0 || runner.heard_ms.saturating_add(after_ms) > now_ms;
+            let is_kept =
+                runner.in_flight > 0 || runner.last_seen_ms.saturating_add(after_ms) > now_ms;
             if !is_kept && by_name.get(&runner.peer.name) == Some(&key) {
                 by_name.remove(&runner.peer.name);
             }
             is_kept
         });
         self.entries
-            .retain(|_, entry| entry.heard_ms.saturating_add(after_ms) > now_ms);
+            .retain(|_, entry| entry.last_seen_ms.saturating_add(after_ms) > now_ms);
     }
 
     /// This process was paused for so long: the silence was its own.
-    pub fn forgive(&mut self, paused_ms: u64) {
+    pub fn shift_last_seen(&mut self, paused_ms: u64) {
         for runner in self.runners.values_mut() {
-            runner.heard_ms += paused_ms;
+            runner.last_seen_ms += paused_ms;
         }
         for entry in self.entries.values_mut() {
-            entry.heard_ms += paused_ms;
+            entry.last_seen_ms += paused_ms;
         }
     }
 }
@@ -255,7 +256,7 @@
     ///
     /// Loads ride on answers that may cross; an earlier one would bring back
     /// slots that are taken.
-    pub const fn hear_load(&mut self, load: wire::Load) {
+    pub const fn update_load(&mut self, load: wire::Load) {
         if load.sequence <= self.load.sequence {
             return;
         }
@@ -273,19 +274,19 @@
     }
 
     /// What is thought to be free of its worker.
-    pub fn free(&self) -> wire::Resources {
+    pub fn free_resources(&self) -> wire::Resources {
         let others = self.load.used.minus(&self.load.mine_used);
         self.load.size.minus(&others.plus(&self.in_flight_used))
     }
 
     /// A task was handed to it.
-    pub const fn sent(&mut self, need: &wire::Resources) {
+    pub const fn add_in_flight(&mut self, need: &wire::Resources) {
         self.in_flight += 1;
         self.in_flight_used = self.in_flight_used.plus(need);
     }
 
     /// A task handed to it is settled.
-    pub const fn settled(&mut self, need: &wire::Resources) {
+    pub const fn remove_in_flight(&mut self, need: &wire::Resources) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_used = self.in_flight_used.minus(need);
     }
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -184,11 +184,11 @@
                 sender.name.clone(),
                 known.max(Some(incarnation)).unwrap_or(0),
             );
-            let heard = match members.hear_runner(now_ms, &heartbeat(sender, sequence)) {
-                membership::Heard::New => "new",
-                membership::Heard::Stale => "stale",
-                membership::Heard::Replaced(_) => "replaced",
-                membership::Heard::Same => "same",
+            let heard = match members.record_runner(now_ms, &heartbeat(sender, sequence)) {
+                membership::Update::New => "new",
+                membership::Update::Stale => "stale",
+                membership::Update::Replaced(_) => "replaced",
+                membership::Update::Unchanged => "same",
             };
             prop_assert_eq!(heard, expected);
         }
--- a/tests/unit/slots.rs
+++ b/tests/unit/slots.rs
@@ -39,7 +39,7 @@
 
 fn known(name: &str, rack: &str) -> membership::Members {
     let mut members = membership::Members::default();
-    members.hear_runner(0, &heartbeat(name, rack, 1, load(1, 0, 0)));
+    members.record_runner(0, &heartbeat(name, rack, 1, load(1, 0, 0)));
     members
 }
 
@@ -60,10 +60,10 @@
         let mut members = known("r", "a");
         let runner = only(&mut members);
         for (sequence, busy, mine) in &told {
-            runner.hear_load(load(*sequence, *busy, *mine));
+            runner.update_load(load(*sequence, *busy, *mine));
         }
         for _ in 0..sent {
-            runner.sent(&wire::Resources::default());
+            runner.add_in_flight(&wire::Resources::default());
         }
         // Naive: the first told of those with the greatest sequence number.
         let later = told.iter().filter(|(sequence, _, _)| *sequence > 1);
@@ -84,7 +84,7 @@
 fn runners_of_one_rack_share_its_number(#[case] rack: &str, #[case] is_same: bool) {
     let mut members = known("one", "a");
 
-    members.hear_runner(0, &heartbeat("two", rack, 1, load(1, 0, 0)));
+    members.record_runner(0, &heartbeat("two", rack, 1, load(1, 0, 0)));
 
     let racks: Vec<_> = members.runners().map(|(_, runner)| runner.rack).collect();
     assert_eq!(racks[0] == racks[1], is_same);
@@ -95,13 +95,13 @@
     let mut members = known("one", "a");
     let mut far = heartbeat("two", "a", 1, load(1, 0, 0));
     far.sender.zone = SmolStr::new("caxias");
-    members.hear_runner(0, &far);
+    members.record_runner(0, &far);
 
-    members.close_zone("bento", 700);
+    members.back_off_zone("bento", 700);
 
     let closed = members
         .runners()
-        .filter(|(_, runner)| runner.closed_until_ms == 700);
+        .filter(|(_, runner)| runner.backoff_until_ms == 700);
     let zones: Vec<_> = closed
         .map(|(_, runner)| runner.peer.zone.as_str())
         .collect();
