--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -331,7 +331,7 @@
         key: membership::RunnerKey,
     ) -> Vec<core::Action> {
         let numbers = self.in_flight.at(key);
-        self.health.forget(key);
+        self.health.remove_runner(key);
         let mut actions = Vec::new();
         for number in numbers {
             let Some(flight) = self.take(number) else {
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -380,7 +380,8 @@
         };
         self.members.record_entry(now_ms, &reply.sender, news);
         let runners = &reply.bad_runners;
-        self.warnings.hear(now_ms, &reply.sender.name, runners);
+        self.warnings
+            .record_report(now_ms, &reply.sender.name, runners);
         if let Some(tickets) = reply.tickets {
             self.stock.add(now_ms, &reply.sender, tickets);
         }
--- a/src/entry/judging.rs
+++ b/src/entry/judging.rs
@@ -22,7 +22,7 @@
     ) {
         let end = end_of(number, flight, run_ms, code);
         let policy = self.settings.policy;
-        if self.health.ended(now_ms, flight.runner, &end, &policy) {
+        if self.health.record_end(now_ms, flight.runner, &end, &policy) {
             self.eject(now_ms, flight.runner);
         }
     }
@@ -35,7 +35,7 @@
         let runner = flight.runner;
         let end = end_of(number, flight, run_ms, codes::Code::Pending);
         let policy = self.settings.policy;
-        if self.health.running(now_ms, runner, &end, &policy) {
+        if self.health.record_running(now_ms, runner, &end, &policy) {
             self.eject(now_ms, runner);
         }
     }
@@ -56,17 +56,17 @@
             let end = end_of(number, flight, age_ms, codes::Code::Pending);
             (flight.runner, end)
         });
-        for runner in self.health.look(now_ms, running, &policy) {
+        for runner in self.health.check_running(now_ms, running, &policy) {
             self.eject(now_ms, runner);
         }
     }
 
     /// Lives of the runners that are bad by what this entry's own tasks came to.
     pub(crate) fn bad_runners(&self) -> Vec<ids::Incarnation> {
-        let bad = self.health.bad();
+        let bad = self.health.unhealthy();
         let known = bad.filter_map(|key| self.members.runner(key));
         let lives = known.map(|runner| runner.peer.incarnation);
-        lives.take(health::warnings::MAX_NAMED).collect()
+        lives.take(health::warnings::MAX_REPORTED).collect()
     }
 
     fn eject(&mut self, now_ms: u64, runner: membership::RunnerKey) {
@@ -76,8 +76,13 @@
     }
 }
 
-fn end_of(number: u64, flight: &core::InFlight, run_ms: u64, code: codes::Code) -> health::End {
-    health::End {
+fn end_of(
+    number: u64,
+    flight: &core::InFlight,
+    run_ms: u64,
+    code: codes::Code,
+) -> health::Observation {
+    health::Observation {
         attempt: number,
         job: slotmap::Key::data(&flight.task.submission).as_ffi(),
         kind: flight.kind,
--- a/src/entry/pump.rs
+++ b/src/entry/pump.rs
@@ -174,16 +174,16 @@
         // An ejected runner is none at all. One that has no room at the moment stays in
         // the list: left out, the last one in service would look like none being there,
         // and submissions would be refused for want of capacity.
-        if allowance.most == Some(0) {
+        if allowance.max_tasks == Some(0) {
             return None;
         }
         // Where a probe is due the warnings of others, who wait for theirs, do not count.
-        let is_probed = allowance.most.is_some();
-        let is_warned = !is_probed && self.warnings.name(runner.peer.incarnation);
+        let is_probed = allowance.max_tasks.is_some();
+        let is_warned = !is_probed && self.warnings.is_reported(runner.peer.incarnation);
         let free_slots = runner.free_slots();
         let ramp = self.ramp_room(now_ms, runner, free_slots);
         let probe = allowance
-            .most
+            .max_tasks
             .map(|most| most.saturating_sub(runner.in_flight));
         let room = ramp.into_iter().chain(probe).min();
         let waiting = u32::try_from(-free_slots.min(0)).unwrap_or(u32::MAX);
@@ -192,7 +192,7 @@
             is_near: runner.peer.zone == self.me.zone,
             is_suspect: allowance.is_suspect,
             trust: if is_warned {
-                health::Trust::PerhapsSlow
+                health::Trust::SuspectedSlow
             } else {
                 allowance.trust
             },
@@ -254,7 +254,7 @@
         };
         let address = runner.peer.address.clone();
         let expected = item.expected_ms + u64::from(timeouts.query_after_ms);
-        let kind = self.health.kind(&dispatch.team, &dispatch.kind);
+        let kind = self.health.intern_kind(&dispatch.team, &dispatch.kind);
         let in_flight = core::InFlight {
             task: item.task,
             runner: key,
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -185,7 +185,7 @@
         runner: &membership::Runner,
     ) -> SmolStr {
         let heard = self.state(now_ms, runner.last_seen_ms, runner.is_leaving);
-        match self.health.state(key).word(now_ms) {
+        match self.health.state(key).label(now_ms) {
             Some(word) if heard == "alive" => SmolStr::new_static(word),
             _ => heard,
         }
--- a/src/health/evidence.rs
+++ b/src/health/evidence.rs
@@ -34,7 +34,7 @@
 impl Streak {
     /// Counts an attempt once, where its kind does well elsewhere; one that hangs is
     /// found hanging again and again.
-    fn add(&mut self, end: &health::End, is_well_elsewhere: bool) {
+    fn add(&mut self, end: &health::Observation, is_well_elsewhere: bool) {
         if !is_well_elsewhere || self.attempts.contains(&end.attempt) {
             return;
         }
@@ -78,7 +78,7 @@
 
 impl Evidence {
     /// A task ran well; `weight` is how much its run time speaks for a slow server.
-    pub fn succeeded(&mut self, now_ms: u64, end: &health::End, weight: f64) {
+    pub fn succeeded(&mut self, now_ms: u64, end: &health::Observation, weight: f64) {
         self.note(now_ms, end.kind, true);
         self.failures.success(end.sent_ms);
         self.stuck.success(end.sent_ms);
@@ -91,14 +91,14 @@
     }
 
     /// A task failed.
-    pub fn failed(&mut self, now_ms: u64, end: &health::End, is_well_elsewhere: bool) {
+    pub fn failed(&mut self, now_ms: u64, end: &health::Observation, is_well_elsewhere: bool) {
         self.note(now_ms, end.kind, false);
         self.stuck.success(end.sent_ms);
         self.failures.add(end, is_well_elsewhere);
     }
 
     /// A task does not end.
-    pub fn stuck(&mut self, end: &health::End, is_well_elsewhere: bool) {
+    pub fn stuck(&mut self, end: &health::Observation, is_well_elsewhere: bool) {
         self.stuck.add(end, is_well_elsewhere);
     }
 
--- a/src/health/kinds.rs
+++ b/src/health/kinds.rs
@@ -110,7 +110,7 @@
 
     /// Learns from a success; gives by how much it took longer than its kind does,
     /// as a natural logarithm.
-    pub fn learn(&mut self, end: &health::End) -> f64 {
+    pub fn learn(&mut self, end: &health::Observation) -> f64 {
         let ratio = log_ratio(end);
         let variance = self.variance;
         let Some(shape) = self.shapes.get_mut(end.kind.0 as usize) else {
@@ -144,20 +144,20 @@
     }
 
     /// By how much a task that still runs takes longer than its kind does already.
-    pub fn excess(&self, end: &health::End) -> f64 {
+    pub fn excess(&self, end: &health::Observation) -> f64 {
         let mean = self.shape(end.kind).map_or(0.0, |shape| shape.mean);
         log_ratio(end) - mean
     }
 
     /// Whether a task has run for far longer than its kind could explain.
-    pub fn is_far_over(&self, end: &health::End) -> bool {
+    pub fn is_far_over(&self, end: &health::Observation) -> bool {
         let shape = self.shape(end.kind);
         let spread = shape.map_or(FIRST_SPREAD, Shape::spread);
         self.excess(end) > FAR_OVER + spread
     }
 }
 
-fn log_ratio(end: &health::End) -> f64 {
+fn log_ratio(end: &health::Observation) -> f64 {
     let run_ms = end.run_ms.max(1) as f64;
     let expected_ms = end.expected_ms.max(1) as f64;
     (run_ms / expected_ms).ln()
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -30,7 +30,7 @@
 
 /// How one attempt ended, as the entry that sent it knows.
 #[derive(Clone, Copy, Debug)]
-pub struct End {
+pub struct Observation {
     /// The attempt's number.
     pub attempt: u64,
     /// The job it is of.
@@ -52,9 +52,9 @@
 pub enum Trust {
     /// Nothing speaks against it.
     #[default]
-    Whole,
+    Full,
     /// Others with a free slot are to be preferred.
-    PerhapsSlow,
+    SuspectedSlow,
     /// A first probe after an ejection: only tasks with time to spare.
     FirstProbe,
 }
@@ -67,7 +67,7 @@
     /// What its tasks' run times allow.
     pub trust: Trust,
     /// Most tasks of this entry there at once; absent: no bound from here.
-    pub most: Option<u32>,
+    pub max_tasks: Option<u32>,
 }
 
 #[derive(Debug, Default)]
@@ -81,9 +81,9 @@
         if self.state.is_first_probe(now_ms) {
             Trust::FirstProbe
         } else if self.evidence.slowness().is_suspect(now_ms) {
-            Trust::PerhapsSlow
+            Trust::SuspectedSlow
         } else {
-            Trust::Whole
+            Trust::Full
         }
     }
 }
@@ -113,7 +113,7 @@
     }
 
     /// The key of a team and kind.
-    pub fn kind(&mut self, team: &str, kind: &str) -> Kind {
+    pub fn intern_kind(&mut self, team: &str, kind: &str) -> Kind {
         self.kinds.intern(team, kind)
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// The runners that are out or being probed.
-    pub fn bad(&self) -> impl Iterator<Item = membership::RunnerKey> {
+    pub fn unhealthy(&self) -> impl Iterator<Item = membership::RunnerKey> {
         let all = self.by_runner.iter();
         let bad = all.filter(|(_, one)| !one.state.is_in_service());
         bad.map(|(key, _)| key)
@@ -149,19 +149,19 @@
         };
         let is_suspect = one.evidence.is_suspect();
         let bound = is_suspect.then_some(1);
-        let most = match one.state.most(now_ms) {
+        let max_tasks = match one.state.most(now_ms) {
             Some(most) => Some(most.min(bound.unwrap_or(most))),
             None => bound,
         };
         Allowance {
             is_suspect,
             trust: one.trust(now_ms),
-            most,
+            max_tasks,
         }
     }
 
     /// A runner's life is over.
-    pub fn forget(&mut self, runner: membership::RunnerKey) {
+    pub fn remove_runner(&mut self, runner: membership::RunnerKey) {
         self.by_runner.remove(runner);
     }
 
@@ -172,11 +172,11 @@
 
     /// An attempt ended. Gives whether the runner is now to be ejected, see
     /// [`Health::eject`].
-    pub fn ended(
+    pub fn record_end(
         &mut self,
         now_ms: u64,
         runner: membership::RunnerKey,
-        end: &End,
+        end: &Observation,
         policy: &settings::Policy,
     ) -> bool {
         if policy.eject_fraction <= 0.0 {
@@ -194,11 +194,11 @@
 
     /// An attempt was found running. Gives whether the runner is now to be ejected,
     /// since its tasks run for longer than their kinds could explain.
-    pub fn running(
+    pub fn record_running(
         &mut self,
         now_ms: u64,
         runner: membership::RunnerKey,
-        end: &End,
+        end: &Observation,
         policy: &settings::Policy,
     ) -> bool {
         if policy.eject_fraction <= 0.0 || !self.kinds.is_far_over(end) {
@@ -217,7 +217,7 @@
         runners: usize,
         policy: &settings::Policy,
     ) -> bool {
-        let has_room = self.ejected(now_ms) < most_out(runners, policy.eject_fraction);
+        let has_room = self.ejected(now_ms) < max_ejected(runners, policy.eject_fraction);
         let one = self.one(runner);
         if !has_room || one.state.is_out(now_ms) {
             return false;
@@ -228,7 +228,7 @@
         true
     }
 
-    fn succeeded(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &End) {
+    fn succeeded(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &Observation) {
         let excess = self.kinds.learn(end);
         let shape = self.kinds.known(end.kind);
         let weight = shape.map(|shape| slowness::weight(excess, shape));
@@ -248,7 +248,7 @@
         }
     }
 
-    fn failed(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &End) {
+    fn failed(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &Observation) {
         let is_well = self.is_well_elsewhere(now_ms, end.kind, runner);
         let one = self.one(runner);
         one.evidence.failed(now_ms, end, is_well);
@@ -257,7 +257,7 @@
         }
     }
 
-    fn stuck(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &End) {
+    fn stuck(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &Observation) {
         let is_well = self.is_well_elsewhere(now_ms, end.kind, runner);
         let one = self.one(runner);
         one.evidence.stuck(end, is_well);
@@ -301,7 +301,7 @@
         weights.len() >= MIN_ELSEWHERE && median.is_some_and(|one| !slowness::is_common(*one))
     }
 
-    fn signs(&self, running: impl Iterator<Item = (membership::RunnerKey, End)>) -> Signs {
+    fn signs(&self, running: impl Iterator<Item = (membership::RunnerKey, Observation)>) -> Signs {
         let mut signs = Signs::new();
         for (runner, end) in running {
             let is_old = self.state(runner).is_sent_before(end.sent_ms);
@@ -321,10 +321,10 @@
     }
 
     /// Looks anew at what runs: gives the runners that are now to be ejected.
-    pub fn look(
+    pub fn check_running(
         &mut self,
         now_ms: u64,
-        running: impl Iterator<Item = (membership::RunnerKey, End)>,
+        running: impl Iterator<Item = (membership::RunnerKey, Observation)>,
         policy: &settings::Policy,
     ) -> Vec<membership::RunnerKey> {
         let signs = self.signs(running);
@@ -354,7 +354,7 @@
     clippy::cast_sign_loss,
     reason = "a part of a count is neither negative nor large"
 )]
-pub fn most_out(runners: usize, fraction: f64) -> usize {
+pub fn max_ejected(runners: usize, fraction: f64) -> usize {
     let part = (runners as f64 * fraction).floor() as usize;
     part.max(1).min(runners.saturating_sub(1))
 }
--- a/src/health/state.rs
+++ b/src/health/state.rs
@@ -160,7 +160,7 @@
     }
 
     /// The word for it in `/status`; absent in service.
-    pub const fn word(&self, now_ms: u64) -> Option<&'static str> {
+    pub const fn label(&self, now_ms: u64) -> Option<&'static str> {
         match self {
             Self::InService { .. } => None,
             Self::Ejected(_) if self.is_out(now_ms) => Some("ejected"),
--- a/src/health/warnings.rs
+++ b/src/health/warnings.rs
@@ -11,7 +11,7 @@
 use crate::ids;
 
 /// Most runners that an entry names: a few dozen bytes in each reply.
-pub const MAX_NAMED: usize = 16;
+pub const MAX_REPORTED: usize = 16;
 
 #[derive(Clone, Debug)]
 struct Warning {
@@ -27,12 +27,12 @@
 
 impl Warnings {
     /// An entry named the runners that are bad by its own evidence.
-    pub fn hear(&mut self, now_ms: u64, entry: &SmolStr, runners: &[ids::Incarnation]) {
+    pub fn record_report(&mut self, now_ms: u64, entry: &SmolStr, runners: &[ids::Incarnation]) {
         if runners.is_empty() {
             self.by_entry.remove(entry);
             return;
         }
-        let named = runners.iter().take(MAX_NAMED);
+        let named = runners.iter().take(MAX_REPORTED);
         let warning = Warning {
             heard_ms: now_ms,
             runners: named.copied().collect(),
@@ -47,7 +47,7 @@
     }
 
     /// Whether any entry names this life of a runner.
-    pub fn name(&self, runner: ids::Incarnation) -> bool {
+    pub fn is_reported(&self, runner: ids::Incarnation) -> bool {
         let mut warnings = self.by_entry.values();
         warnings.any(|warning| warning.runners.contains(&runner))
     }
--- a/src/leased/dispatch/filling.rs
+++ b/src/leased/dispatch/filling.rs
@@ -92,7 +92,7 @@
             .filter(|(_, runner)| may_take(runner));
         let candidates = usable.map(|(key, runner)| {
             let allowance = self.health.allowance(now_ms, key);
-            let most = allowance.most.unwrap_or(u32::MAX);
+            let most = allowance.max_tasks.unwrap_or(u32::MAX);
             let held = u32::try_from(runner.placed()).unwrap_or(u32::MAX);
             placing::Candidate {
                 key,
@@ -100,7 +100,7 @@
                 size_milli: runner.load.size.cpu_milli,
                 line_milli: runner.line_milli(),
                 line_taken_milli: 0,
-                is_suspect: allowance.is_suspect || allowance.trust != health::Trust::Whole,
+                is_suspect: allowance.is_suspect || allowance.trust != health::Trust::Full,
                 places: most.saturating_sub(held),
                 is_near: runner.load.zone == self.zone,
                 preference: runner.preference,
--- a/src/leased/dispatch/judging.rs
+++ b/src/leased/dispatch/judging.rs
@@ -38,7 +38,7 @@
             messages::How::Stopped | messages::How::NotStarted => return Vec::new(),
         };
         let end = end_of(&over.placed, over.ran_ms, code);
-        if self.health.ended(now_ms, key, &end, &self.policy) {
+        if self.health.record_end(now_ms, key, &end, &self.policy) {
             return self.eject(now_ms, key);
         }
         Vec::new()
@@ -60,9 +60,11 @@
                 }
             }
         }
-        let mut bad = self.health.look(now_ms, late.iter().copied(), &self.policy);
+        let mut bad = self
+            .health
+            .check_running(now_ms, late.iter().copied(), &self.policy);
         for (key, end) in &late {
-            if self.health.running(now_ms, *key, end, &self.policy) {
+            if self.health.record_running(now_ms, *key, end, &self.policy) {
                 bad.push(*key);
             }
         }
@@ -99,8 +101,8 @@
     }
 }
 
-fn end_of(placed: &runners::Placed, run_ms: u64, code: codes::Code) -> health::End {
-    health::End {
+fn end_of(placed: &runners::Placed, run_ms: u64, code: codes::Code) -> health::Observation {
+    health::Observation {
         attempt: placed.number,
         job: placed.job.data().as_ffi(),
         kind: placed.kind,
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -260,7 +260,7 @@
             open.waiters.push(waiter);
             return Vec::new();
         }
-        let kind = self.health.kind(&queue.service, &queue.name);
+        let kind = self.health.intern_kind(&queue.service, &queue.name);
         let mut open = jobs::Open::new(now_ms, job, queue, timeout_ms, waiter, kind);
         open.precedence = self.queues.precedence(queue);
         let waited_ms = self.patience.waited_ms(queue, timeout_ms);
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -202,7 +202,7 @@
     (
         !one.is_suspect,
         has_free,
-        one.trust != health::Trust::PerhapsSlow,
+        one.trust != health::Trust::SuspectedSlow,
         one.free_slots + near,
         -job_in_rack,
     )
--- a/tests/unit/health.rs
+++ b/tests/unit/health.rs
@@ -44,17 +44,17 @@
         self.attempts += 1;
         self.now_ms += 10;
         let (team, name) = KINDS[kind % KINDS.len()];
-        let end = health::End {
+        let end = health::Observation {
             attempt: self.attempts,
             job: self.attempts,
-            kind: self.health.kind(team, name),
+            kind: self.health.intern_kind(team, name),
             sent_ms: self.now_ms.saturating_sub(5),
             run_ms,
             expected_ms: 100,
             code,
         };
         let key = self.keys[runner];
-        if self.health.ended(self.now_ms, key, &end, &self.policy) {
+        if self.health.record_end(self.now_ms, key, &end, &self.policy) {
             self.health.eject(self.now_ms, key, RUNNERS, &self.policy);
         }
     }
@@ -84,8 +84,8 @@
     /// running for so long.
     fn runs(&mut self, runners: &[usize], tasks: u64, sent_ms: u64, run_ms: u64) {
         self.now_ms = self.now_ms.max(sent_ms + run_ms);
-        let kind = self.health.kind(KINDS[0].0, KINDS[0].1);
-        let end = |job| health::End {
+        let kind = self.health.intern_kind(KINDS[0].0, KINDS[0].1);
+        let end = |job| health::Observation {
             attempt: job,
             job,
             kind,
@@ -97,7 +97,9 @@
         let keys = runners.iter().map(|runner| self.keys[*runner]);
         let all = keys.flat_map(|key| (0..tasks).map(move |job| (key, end(1_000_000 + job))));
         let all: Vec<_> = all.collect();
-        let slow = self.health.look(self.now_ms, all.into_iter(), &self.policy);
+        let slow = self
+            .health
+            .check_running(self.now_ms, all.into_iter(), &self.policy);
         for key in slow {
             self.health.eject(self.now_ms, key, RUNNERS, &self.policy);
         }
@@ -110,11 +112,11 @@
 
     fn most(&self, runner: usize) -> Option<u32> {
         let key = self.keys[runner];
-        self.health.allowance(self.now_ms, key).most
+        self.health.allowance(self.now_ms, key).max_tasks
     }
 
     fn word(&self, runner: usize) -> Option<&'static str> {
-        self.health.state(self.keys[runner]).word(self.now_ms)
+        self.health.state(self.keys[runner]).label(self.now_ms)
     }
 }
 
@@ -161,10 +163,10 @@
     let mut site = site();
     site.all_well();
     site.fails(3, &[0, 1], 4);
-    let early = health::End {
+    let early = health::Observation {
         attempt: 0,
         job: 0,
-        kind: site.health.kind("escola", "check"),
+        kind: site.health.intern_kind("escola", "check"),
         sent_ms: site.now_ms - 500,
         run_ms: 100,
         expected_ms: 100,
@@ -172,7 +174,7 @@
     };
 
     site.health
-        .ended(site.now_ms, site.keys[3], &early, &site.policy);
+        .record_end(site.now_ms, site.keys[3], &early, &site.policy);
     site.fails(3, &[0], 1);
 
     assert_eq!(site.word(3), Some("ejected"));
@@ -188,8 +190,8 @@
     let allowance = site.health.allowance(site.now_ms, site.keys[3]);
     let suspect = health::Allowance {
         is_suspect: true,
-        trust: health::Trust::Whole,
-        most: Some(1),
+        trust: health::Trust::Full,
+        max_tasks: Some(1),
     };
     assert_eq!(allowance, suspect);
 }
@@ -248,7 +250,7 @@
     }
     site.runs(&[3], 8, sent_ms, 400);
 
-    assert_eq!((site.word(3), site.trust(3)), (None, health::Trust::Whole));
+    assert_eq!((site.word(3), site.trust(3)), (None, health::Trust::Full));
 }
 
 /// A user sends a burst of jobs whose tasks take far longer than such tasks do. They run
@@ -275,12 +277,12 @@
 
     site.runs(&[3], 8, site.now_ms, 400);
 
-    assert_eq!((site.word(3), site.trust(3)), (None, health::Trust::Whole));
+    assert_eq!((site.word(3), site.trust(3)), (None, health::Trust::Full));
 }
 
 #[rstest]
-#[case::one(1, health::Trust::PerhapsSlow)]
-#[case::none(0, health::Trust::Whole)]
+#[case::one(1, health::Trust::SuspectedSlow)]
+#[case::none(0, health::Trust::Full)]
 fn a_task_that_runs_on_has_others_preferred(#[case] tasks: u64, #[case] trust: health::Trust) {
     let mut site = site();
     for _ in 0..20 {
@@ -303,7 +305,7 @@
     site.now_ms += 1_000;
 
     let trust = [first, site.trust(3)];
-    assert_eq!(trust, [health::Trust::FirstProbe, health::Trust::Whole]);
+    assert_eq!(trust, [health::Trust::FirstProbe, health::Trust::Full]);
 }
 
 #[test]
@@ -311,14 +313,14 @@
     let mut warnings = health::warnings::Warnings::default();
     let (entry, runner) = ("entry-1".into(), ids::Incarnation(7));
 
-    warnings.hear(1_000, &entry, &[runner]);
+    warnings.record_report(1_000, &entry, &[runner]);
     warnings.expire(1_000);
-    let mut is_named = vec![warnings.name(runner)];
+    let mut is_named = vec![warnings.is_reported(runner)];
     warnings.expire(1_001);
-    is_named.push(warnings.name(runner));
-    warnings.hear(2_000, &entry, &[runner]);
-    warnings.hear(2_500, &entry, &[]);
-    is_named.push(warnings.name(runner));
+    is_named.push(warnings.is_reported(runner));
+    warnings.record_report(2_000, &entry, &[runner]);
+    warnings.record_report(2_500, &entry, &[]);
+    is_named.push(warnings.is_reported(runner));
 
     assert_eq!(is_named, [true, false, false]);
 }
@@ -368,7 +370,7 @@
     #[case] fraction: f64,
     #[case] most: usize,
 ) {
-    let out = health::most_out(runners, fraction);
+    let out = health::max_ejected(runners, fraction);
 
     assert_eq!(out, most);
 }
@@ -393,7 +395,7 @@
             let out = (0..RUNNERS)
                 .filter(|one| site.most(*one) == Some(0))
                 .count();
-            assert!(out <= health::most_out(RUNNERS, fraction));
+            assert!(out <= health::max_ejected(RUNNERS, fraction));
             assert_eq!(out, site.health.ejected(site.now_ms));
         }
         Ok(())
--- a/tests/unit/placement.rs
+++ b/tests/unit/placement.rs
@@ -39,7 +39,7 @@
         key,
         is_near: false,
         is_suspect: false,
-        trust: health::Trust::Whole,
+        trust: health::Trust::Full,
         rack: membership::Rack(0),
         free_slots: 8,
         parked: 0,
