--- a/measure/src/sim/servers.rs
+++ b/measure/src/sim/servers.rs
@@ -76,7 +76,7 @@
                     self.at(self.now_us + self.site.within_zone_us, event);
                 }
                 runner::Action::Answer(attempt, outcome) => self.answer(index, attempt, outcome),
-                runner::Action::TellEntries => self.tell_entries(index),
+                runner::Action::SendHeartbeats => self.tell_entries(index),
             }
         }
     }
--- a/src/runner/backend.rs
+++ b/src/runner/backend.rs
@@ -120,7 +120,7 @@
         Ok(response) => response,
         Err(e) if outgoing::is_unsent(&e) => {
             log::warn!(event = "backend.unreachable"; "{e}");
-            return core::End::NotReached;
+            return core::End::Unreachable;
         }
         Err(e) => return broken(&e.to_string()),
     };
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -107,7 +107,7 @@
                 core::Action::Start(dispatch) => self.start(cx, dispatch),
                 core::Action::Stop(attempt) => self.stop(attempt),
                 core::Action::Answer(attempt, outcome) => self.answer(attempt, &outcome),
-                core::Action::TellEntries => self.send_heartbeats(cx),
+                core::Action::SendHeartbeats => self.send_heartbeats(cx),
             }
         }
     }
@@ -131,7 +131,7 @@
                 log::info!(event = "task.start", attempt:% = attempt, submission = submission, index = index; "start");
                 backend::run(&client, &backend, &dispatch).await
             } else {
-                core::End::NotReached
+                core::End::Unreachable
             };
             log::info!(event = "task.end", attempt:% = attempt, submission = submission, index = index; "end");
             control.do_send(messages::TaskEnded { attempt, end });
--- a/src/runner/core.rs
+++ b/src/runner/core.rs
@@ -6,7 +6,7 @@
 use crate::codes;
 use crate::freshness;
 use crate::ids;
-use crate::runner::parked;
+use crate::runner::wait_queue;
 use crate::settings;
 use crate::starts;
 use crate::wire;
@@ -21,14 +21,14 @@
     /// Tell all who wait for the attempt.
     Answer(ids::Attempt, wire::Outcome),
     /// Send all entries a heartbeat now.
-    TellEntries,
+    SendHeartbeats,
 }
 
 /// How a task ended at the backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
     /// The connection could not be made: the task did not start.
-    NotReached,
+    Unreachable,
     /// It ended.
     Ended {
         /// [`codes::Code::Complete`], or why it failed.
@@ -66,7 +66,7 @@
     settings: sync::Arc<settings::Settings>,
     freshness: freshness::Freshness,
     ledger: starts::Ledger,
-    parked: parked::Lines,
+    parked: wait_queue::WaitQueue,
     running: collections::HashMap<ids::Attempt, Running>,
     used: wire::Resources,
     observed: wire::Resources,
@@ -82,7 +82,7 @@
             settings,
             freshness: freshness::Freshness::default(),
             ledger: starts::Ledger::new(now_ms),
-            parked: parked::Lines::default(),
+            parked: wait_queue::WaitQueue::default(),
             running: collections::HashMap::new(),
             used: wire::Resources::default(),
             observed: wire::Resources::default(),
@@ -118,7 +118,7 @@
     }
 
     /// How many dispatches wait for a slot.
-    pub const fn parked(&self) -> usize {
+    pub const fn waiting(&self) -> usize {
         self.parked.len()
     }
 
@@ -166,7 +166,7 @@
         self.settings = settings;
         let is_back = was_out && !self.settings.is_zone_out(&self.parts.me.zone);
         let mut actions = self.hand_back_if_closed();
-        actions.extend(is_back.then_some(Action::TellEntries));
+        actions.extend(is_back.then_some(Action::SendHeartbeats));
         actions
     }
 
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -6,5 +6,5 @@
 mod hearing;
 pub mod http;
 pub mod messages;
-pub mod parked;
 mod report;
+pub mod wait_queue;
--- a/src/runner/report.rs
+++ b/src/runner/report.rs
@@ -39,7 +39,7 @@
             fresh: self.core.is_fresh(now_ms),
             zones_out: self.keeper.state().settings().zones_out(),
             leader: None,
-            queued: self.core.parked() as u64,
+            queued: self.core.waiting() as u64,
             running: self.core.running() as u64,
             peers: Vec::new(),
         })
@@ -84,7 +84,7 @@
             gauge(
                 "runner_parked",
                 "Tasks that wait for a slot",
-                self.core.parked() as u64,
+                self.core.waiting() as u64,
             ),
             gauge(
                 "runner_remembered",
@@ -129,7 +129,7 @@
         let lingered = self
             .left_ms
             .is_some_and(|left| left + LINGER_MS <= self.now_ms());
-        lingered && self.core.running() == 0 && self.core.parked() == 0
+        lingered && self.core.running() == 0 && self.core.waiting() == 0
     }
 }
 
--- a/src/runner/parked.rs
+++ b/src/runner/wait_queue.rs
@@ -43,12 +43,12 @@
 
 /// All waiting dispatches, a line for each entry.
 #[derive(Debug, Default)]
-pub struct Lines {
+pub struct WaitQueue {
     lines: Vec<Line>,
     len: usize,
 }
 
-impl Lines {
+impl WaitQueue {
     /// How many wait.
     pub const fn len(&self) -> usize {
         self.len
--- a/tests/unit/dispatching/world.rs
+++ b/tests/unit/dispatching/world.rs
@@ -280,7 +280,7 @@
         for action in actions {
             match action {
                 runner::core::Action::Start(dispatch) => self.start(at, &dispatch),
-                runner::core::Action::Stop(_) | runner::core::Action::TellEntries => {}
+                runner::core::Action::Stop(_) | runner::core::Action::SendHeartbeats => {}
                 runner::core::Action::Answer(attempt, outcome) => {
                     let load = self.runners[at].core.load_for(attempt.owner);
                     let reply = wire::DispatchReply {
@@ -304,7 +304,7 @@
         let life = ids::Incarnation(self.runners[at].incarnation);
         let attempt = dispatch.attempt;
         if self.happens(self.trouble.lost) {
-            let end = runner::core::End::NotReached;
+            let end = runner::core::End::Unreachable;
             self.post(5, Message::TaskEnded(at, life, attempt, end));
             return;
         }
--- a/tests/unit/runner.rs
+++ b/tests/unit/runner.rs
@@ -133,5 +133,5 @@
 
     let actions = runner.set_settings(zones_out(after));
 
-    assert_eq!(actions.contains(&core::Action::TellEntries), tells);
+    assert_eq!(actions.contains(&core::Action::SendHeartbeats), tells);
 }
--- a/tests/unit/stops/runner.rs
+++ b/tests/unit/stops/runner.rs
@@ -79,7 +79,7 @@
     match action {
         runner::core::Action::Start(dispatch) => Said::Starts(number(dispatch.attempt)),
         runner::core::Action::Stop(attempt) => unreachable!("{attempt} is stopped"),
-        runner::core::Action::TellEntries => unreachable!("no zone comes back"),
+        runner::core::Action::SendHeartbeats => unreachable!("no zone comes back"),
         runner::core::Action::Answer(attempt, outcome) => match outcome {
             wire::Outcome::NotStarted { code } | wire::Outcome::Ended { code, .. } => {
                 Said::Answers(number(*attempt), *code)
@@ -192,7 +192,7 @@
         let actions: Vec<_> = actions.iter().map(said).collect();
         prop_assert_eq!(actions, expected);
         prop_assert_eq!(core.running(), naive.running.len());
-        prop_assert_eq!(core.parked(), naive.waiting.len());
+        prop_assert_eq!(core.waiting(), naive.waiting.len());
     }
     Ok(())
 }
