--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -24,7 +24,7 @@
 use crate::leading;
 use crate::learning;
 use crate::membership;
-use crate::membership::naming;
+use crate::membership::entry_list;
 use crate::queue;
 use crate::ramp;
 use crate::retry;
@@ -295,20 +295,20 @@
         let mut tickets = None;
         match heartbeat.sender.role {
             wire::Role::Runner => {
-                let heard = self.members.hear_runner(now_ms, heartbeat);
-                if let membership::Heard::Replaced(old) = heard {
+                let heard = self.members.record_runner(now_ms, heartbeat);
+                if let membership::Update::Replaced(old) = heard {
                     actions.extend(self.runner_over(now_ms, old));
-                    self.members.remove_past_life(old);
+                    self.members.remove_replaced(old);
                 }
                 actions.extend(self.pump(now_ms));
             }
             wire::Role::Entry => {
-                let news = membership::EntryNews {
+                let news = membership::EntryStatus {
                     is_leaving: heartbeat.leaving,
                     revision: heartbeat.revision,
                     slots: heartbeat.slots,
                 };
-                self.members.hear_entry(now_ms, &heartbeat.sender, news);
+                self.members.record_entry(now_ms, &heartbeat.sender, news);
                 tickets = self.grant_tickets(heartbeat.tickets);
             }
         }
@@ -320,7 +320,8 @@
     }
 
     fn heartbeat_reply(&self, now_ms: u64, held: Option<u64>) -> wire::HeartbeatReply {
-        let named = naming::Named::new(self.me.incarnation, self.live_entries(now_ms), held);
+        let named =
+            entry_list::EntryList::new(self.me.incarnation, self.live_entries(now_ms), held);
         wire::HeartbeatReply {
             version: wire::VERSION,
             sender: self.me.clone(),
@@ -341,7 +342,7 @@
         let live = self
             .members
             .entries()
-            .filter(|entry| !entry.is_leaving && entry.heard_ms.saturating_add(bound) > now_ms);
+            .filter(|entry| !entry.is_leaving && entry.last_seen_ms.saturating_add(bound) > now_ms);
         live.map(|entry| entry.peer.clone()).collect()
     }
 
@@ -360,7 +361,7 @@
             .iter()
             .filter(|peer| peer.name != self.me.name)
         {
-            self.members.hear_of_entry(now_ms, peer);
+            self.members.record_named_entry(now_ms, peer);
         }
         if reply.revision > self.revision {
             return true;
@@ -372,14 +373,15 @@
     }
 
     fn hear_reply(&mut self, now_ms: u64, reply: &wire::HeartbeatReply) {
-        let news = membership::EntryNews {
+        let news = membership::EntryStatus {
             is_leaving: reply.leaving,
             revision: reply.revision,
             slots: reply.slots,
         };
-        self.members.hear_entry(now_ms, &reply.sender, news);
+        self.members.record_entry(now_ms, &reply.sender, news);
         let runners = &reply.bad_runners;
-        self.warnings.hear(now_ms, &reply.sender.name, runners);
+        self.warnings
+            .record_report(now_ms, &reply.sender.name, runners);
         if let Some(tickets) = reply.tickets {
             self.stock.add(now_ms, &reply.sender, tickets);
         }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -204,7 +204,7 @@
     (
         !one.is_suspect,
         has_free,
-        one.trust != health::Trust::PerhapsSlow,
+        one.trust != health::Trust::SuspectedSlow,
         one.free_slots + near,
         -job_in_rack,
     )
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -107,7 +107,7 @@
                 core::Action::Start(dispatch) => self.start(cx, dispatch),
                 core::Action::Stop(attempt) => self.stop(attempt),
                 core::Action::Answer(attempt, outcome) => self.answer(attempt, &outcome),
-                core::Action::TellEntries => self.send_heartbeats(cx),
+                core::Action::SendHeartbeats => self.send_heartbeats(cx),
             }
         }
     }
@@ -131,7 +131,7 @@
                 log::info!(event = "task.start", attempt:% = attempt, submission = submission, index = index; "start");
                 backend::run(&client, &backend, &dispatch).await
             } else {
-                core::End::NotReached
+                core::End::Unreachable
             };
             log::info!(event = "task.end", attempt:% = attempt, submission = submission, index = index; "end");
             control.do_send(messages::TaskEnded { attempt, end });
@@ -171,7 +171,7 @@
         let timeouts = self.timeouts();
         let limit = time::Duration::from_millis(u64::from(timeouts.dead_after_ms) / 2);
         self.contacts
-            .drop_silent(now_ms, u64::from(timeouts.dead_after_ms) * 20);
+            .remove_silent(now_ms, u64::from(timeouts.dead_after_ms) * 20);
         for target in self.contacts.targets() {
             let heartbeat = self.heartbeat_for(now_ms, &target);
             let done = cx.address().recipient();
@@ -231,7 +231,7 @@
     fn search_entries_if_alone(&mut self, cx: &actix::Context<Self>) {
         let now_ms = self.now_ms();
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
-        let is_alone = self.contacts.is_alone(since_ms);
+        let is_alone = self.contacts.is_isolated(since_ms);
         if !self.search.is_due(now_ms, is_alone) {
             return;
         }
