--- a/src/leased/dispatch/directives_fetch.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -1,33 +1,35 @@
-//! When an entry asks another one for a configuration that it has only been told of.
+//! Schedules fetches of a missing configuration from other entries.
 //!
-//! Load that this answers: the store turns some instances away, or its answer takes long on
-//! a narrow way, while others have the change in force.
+//! An entry may learn of a newer configuration version before the store delivers it: the store
+//! refuses some instances, or its response is slow on a low-bandwidth link, while other entries
+//! already apply the change.
 
 use std::collections;
 
 use smol_str::SmolStr;
 
-/// How long the store has to tell the change itself, in milliseconds: both ways end on the
-/// same link, and a change has to be in force within two seconds.
-const PATIENCE_MS: u64 = 700;
+/// Time that the store has to deliver a change before another entry is asked, in milliseconds.
+///
+/// Both transfers share one link, and a change has to be in force within two seconds.
+const STORE_WAIT_MS: u64 = 700;
 
-/// Pause after an answer that didn't bring the configuration, in milliseconds.
-const RETRY_MS: u64 = 200;
+/// Pause after a fetch that didn't return the configuration, in milliseconds.
+const RETRY_PAUSE_MS: u64 = 200;
 
-/// Most entries that are remembered as having the configuration.
+/// Maximum number of remembered entries that hold the configuration.
 const MAX_HOLDERS: usize = 4;
 
-/// Whom to ask, and when.
+/// Decides when to fetch the configuration and from which entry.
 #[derive(Clone, Debug, Default)]
 pub struct DirectivesFetch {
-    since_ms: Option<u64>,
+    lacking_since_ms: Option<u64>,
     holders: collections::VecDeque<SmolStr>,
-    is_asking: bool,
+    is_fetching: bool,
     not_before_ms: u64,
 }
 
 impl DirectivesFetch {
-    /// An entry was named that has the configuration.
+    /// Remembers an entry that holds the configuration; replaces the oldest one if full.
     pub fn add_holder(&mut self, holder: SmolStr) {
         if self.holders.contains(&holder) {
             return;
@@ -38,29 +40,37 @@
         self.holders.push_back(holder);
     }
 
-    /// Whom to ask now; `is_lacking` tells that the configuration is missing here, and
-    /// `has_any` that an older one is in force meanwhile.
-    pub fn next_holder(&mut self, now_ms: u64, is_lacking: bool, has_any: bool) -> Option<SmolStr> {
+    /// Returns the entry to fetch from now, if a fetch is due.
+    ///
+    /// `is_lacking` tells whether a newer configuration is known than the one held, and `has_older`
+    /// whether an older one is in force. Without any configuration the fetch starts at once.
+    /// Holders take turns, so that one that is down is not asked over and over.
+    pub fn next_holder(
+        &mut self,
+        now_ms: u64,
+        is_lacking: bool,
+        has_older: bool,
+    ) -> Option<SmolStr> {
         if !is_lacking {
-            self.since_ms = None;
+            self.lacking_since_ms = None;
             self.holders.clear();
             return None;
         }
-        let since_ms = *self.since_ms.get_or_insert(now_ms);
-        let patience_ms = if has_any { PATIENCE_MS } else { 0 };
-        let due_ms = self.not_before_ms.max(since_ms + patience_ms);
-        if self.is_asking || now_ms < due_ms {
+        let lacking_since_ms = *self.lacking_since_ms.get_or_insert(now_ms);
+        let wait_ms = if has_older { STORE_WAIT_MS } else { 0 };
+        let due_ms = self.not_before_ms.max(lacking_since_ms + wait_ms);
+        if self.is_fetching || now_ms < due_ms {
             return None;
         }
         let holder = self.holders.pop_front()?;
         self.holders.push_back(holder.clone());
-        self.is_asking = true;
+        self.is_fetching = true;
         Some(holder)
     }
 
-    /// Whoever was asked has answered, or failed to.
+    /// Notes that the pending fetch has succeeded or failed.
     pub fn answered(&mut self, now_ms: u64) {
-        self.is_asking = false;
-        self.not_before_ms = now_ms + RETRY_MS;
+        self.is_fetching = false;
+        self.not_before_ms = now_ms + RETRY_PAUSE_MS;
     }
 }
--- a/src/leased/dispatch/ejection.rs
+++ b/src/leased/dispatch/ejection.rs
@@ -1,8 +1,7 @@
-//! What an entry tells the health slice of its runs, and what follows for a bad server.
+//! Reports run outcomes to the health tracker and ejects the runners that it finds bad.
 //!
-//! Load that this answers: a backend server that fails whatever it starts looks empty and
-//! draws all work; on one that is slow or stands still every job is late. See [`health`]
-//! for the evidence.
+//! A backend server that fails every task at once looks idle and attracts all work. On one that
+//! is slow or hangs, every job is late. [`health`] describes the evidence.
 
 use slotmap::Key as _;
 
@@ -12,68 +11,71 @@
 use crate::leased::dispatch::runners;
 use crate::leased::messages;
 
-/// How often running tasks are looked at, in milliseconds: often enough for tasks of
-/// 60 ms, and a twentieth of what looking at each tick costs.
-const LOOK_MS: u64 = 50;
+/// Interval between checks of running tasks, in milliseconds.
+///
+/// It is short enough for tasks of 60 ms, and costs a twentieth of a check on each tick.
+const CHECK_INTERVAL_MS: u64 = 50;
 
-/// Time that a task is not taken to have run for, in milliseconds: the ways of its order
-/// and of the report of its end.
-const WAY_MS: u64 = 10;
+/// Latency of an order plus that of the report of the end, in milliseconds.
+///
+/// It is not counted as run time.
+const ROUND_TRIP_MS: u64 = 10;
 
-/// How many times its declared time a run on a bad server has taken when it is started
+/// Multiple of its declared time after which a run on an ejected runner is stopped and started
 /// elsewhere; before that it may well end first.
-const MOVE_FACTOR: u64 = 2;
+const RELOCATE_FACTOR: u64 = 2;
 
 impl dispatch::Dispatcher {
-    /// Tells the health slice how a run ended.
-    pub(super) fn judge_end(
+    /// Passes the outcome of a run to the health tracker and ejects the runner if it is bad.
+    pub(super) fn observe_end(
         &mut self,
         now_ms: u64,
         key: runners::RunnerKey,
-        over: &runners::Over,
+        run: &runners::EndedRun,
     ) -> Vec<dispatch::Action> {
-        let code = match over.how {
+        let code = match run.how {
             messages::RunOutcome::Done => codes::Code::Complete,
             messages::RunOutcome::Failed => codes::Code::TaskFailed,
             messages::RunOutcome::Stopped | messages::RunOutcome::NotStarted => return Vec::new(),
         };
-        let end = end_of(&over.placed, over.ran_ms, code);
+        let end = end_of(&run.placed, run.ran_ms, code);
         if self.health.record_end(now_ms, key, &end, &self.policy) {
             return self.eject(now_ms, key);
         }
         Vec::new()
     }
 
-    /// Tells the health slice of runs that take longer than declared.
-    pub(super) fn judge_running(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
-        if now_ms < self.looked_ms + LOOK_MS {
+    /// Passes runs that exceed their declared time to the health tracker and ejects bad runners.
+    pub(super) fn observe_running(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
+        if now_ms < self.running_checked_ms + CHECK_INTERVAL_MS {
             return Vec::new();
         }
-        self.looked_ms = now_ms;
+        self.running_checked_ms = now_ms;
         let mut late = Vec::new();
         for (key, runner) in self.watched_runners() {
             for (_, placed) in runner.placed_runs() {
-                let age_ms = now_ms.saturating_sub(placed.ordered_ms + WAY_MS);
+                let age_ms = now_ms.saturating_sub(placed.ordered_ms + ROUND_TRIP_MS);
                 let is_late = !placed.waits && age_ms > placed.expected_ms;
                 if is_late && self.jobs.contains_key(placed.job) {
                     late.push((key, end_of(placed, age_ms, codes::Code::Pending)));
                 }
             }
         }
-        let mut bad = self
+        let mut to_eject = self
             .health
             .check_running(now_ms, late.iter().copied(), &self.policy);
         for (key, end) in &late {
             if self.health.record_running(now_ms, *key, end, &self.policy) {
-                bad.push(*key);
+                to_eject.push(*key);
             }
         }
-        bad.into_iter()
+        to_eject
+            .into_iter()
             .flat_map(|key| self.eject(now_ms, key))
             .collect()
     }
 
-    /// Takes a runner out for a while, unless too many are, and moves what hangs there.
+    /// Ejects a runner temporarily, unless too many are ejected, and stops its hanging runs.
     fn eject(&mut self, now_ms: u64, key: runners::RunnerKey) -> Vec<dispatch::Action> {
         let usable = self.usable(now_ms);
         if !self.health.eject(now_ms, key, usable, &self.policy) {
@@ -82,26 +84,26 @@
         let Some(runner) = self.runners.get(key) else {
             return Vec::new();
         };
-        log::warn!(event = "runner.ejected", runner = runner.address().as_str(), usable = usable, runs = runner.placed(); "its tasks fail, hang or are slow");
-        let is_hanging = |placed: &runners::Placed| {
+        log::warn!(event = "runner.ejected", runner = runner.address().as_str(), usable = usable, runs = runner.placed(); "tasks fail, hang or are slow on this runner; sending it no work for now");
+        let is_overrunning = |placed: &runners::PlacedRun| {
             !placed.waits
-                && now_ms.saturating_sub(placed.ordered_ms) > MOVE_FACTOR * placed.expected_ms
+                && now_ms.saturating_sub(placed.ordered_ms) > RELOCATE_FACTOR * placed.expected_ms
         };
-        let hanging = runner
+        let overrunning = runner
             .placed_runs()
-            .filter(|(_, placed)| is_hanging(placed));
-        let stops: Vec<_> = hanging.map(|(id, _)| id.clone()).collect();
+            .filter(|(_, placed)| is_overrunning(placed));
+        let stops: Vec<_> = overrunning.map(|(id, _)| id.clone()).collect();
         if stops.is_empty() {
             return Vec::new();
         }
-        // Their ends come back as stopped, and only then do the tasks go elsewhere.
-        self.order(now_ms, key, Vec::new(), stops)
+        // The tasks restart elsewhere only after the runner reports these runs as stopped.
+        self.send_order(now_ms, key, Vec::new(), stops)
             .into_iter()
             .collect()
     }
 }
 
-fn end_of(placed: &runners::Placed, run_ms: u64, code: codes::Code) -> health::Observation {
+fn end_of(placed: &runners::PlacedRun, run_ms: u64, code: codes::Code) -> health::Observation {
     health::Observation {
         attempt: placed.number,
         job: placed.job.data().as_ffi(),
--- a/src/leased/dispatch/expiry.rs
+++ b/src/leased/dispatch/expiry.rs
@@ -1,55 +1,57 @@
-//! What time ends at an entry: silent runners, overdue jobs, and jobs that can't be in time.
+//! Periodic work: expires runs at silent runners, overdue jobs and jobs that cannot meet their
+//! deadline.
 
 use crate::leased::dispatch;
 use crate::leased::dispatch::jobs;
 use crate::leased::dispatch::urgency;
 
-/// How often silent runners are looked for, in milliseconds.
-const SWEEP_MS: u64 = 1_000;
+/// Interval between removals of silent runners, in milliseconds.
+const SWEEP_INTERVAL_MS: u64 = 1_000;
 
-/// Shortest time after which a refused caller is asked to come back, in milliseconds.
-const MIN_RETRY_MS: u64 = 1_000;
+/// Minimum retry delay sent to a refused caller, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
 impl dispatch::Dispatcher {
-    /// Time passes.
+    /// Runs all periodic work that is due at `now_ms` and returns the actions that follow.
     pub fn tick(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
         let mut actions = Vec::new();
-        // A runner with runs is always watched.
+        // Every runner that holds runs has an open watch.
         for key in self.watches.open().to_vec() {
-            let over = self.runners[key].lapse(now_ms);
-            for over in over {
-                actions.extend(self.take_end(now_ms, &over));
+            let ended = self.runners[key].expire_runs(now_ms);
+            for run in ended {
+                actions.extend(self.apply_end(now_ms, &run));
             }
         }
-        if now_ms >= self.swept_ms + SWEEP_MS {
+        if now_ms >= self.swept_ms + SWEEP_INTERVAL_MS {
             self.swept_ms = now_ms;
-            self.forget_runners(now_ms);
+            self.remove_silent_runners(now_ms);
         }
-        actions.extend(self.keep_watches(now_ms));
-        actions.extend(self.judge_running(now_ms));
-        actions.extend(self.end_overdue(now_ms));
-        actions.extend(self.fill(now_ms));
-        actions.extend(self.catch_up(now_ms));
+        actions.extend(self.open_watches(now_ms));
+        actions.extend(self.observe_running(now_ms));
+        actions.extend(self.end_expired_jobs(now_ms));
+        actions.extend(self.schedule(now_ms));
+        actions.extend(self.fetch_directives(now_ms));
         actions
     }
 
-    fn end_overdue(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
-        let is_over = |open: &jobs::Open| {
+    fn end_expired_jobs(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
+        let is_expired = |open: &jobs::OpenJob| {
             now_ms >= open.deadline_ms
-                || (!open.has_started() && urgency::is_hopeless(&dispatch::view(open), now_ms))
+                || (!open.has_started()
+                    && urgency::is_infeasible(&dispatch::urgency_view(open), now_ms))
         };
-        let overdue = self.jobs.iter().filter(|(_, open)| is_over(open));
-        let overdue: Vec<_> = overdue
+        let expired = self.jobs.iter().filter(|(_, open)| is_expired(open));
+        let expired: Vec<_> = expired
             .map(|(key, open)| (key, open.has_started()))
             .collect();
         let mut actions = Vec::new();
-        for (key, has_started) in overdue {
-            actions.extend(self.give_up(now_ms, key, has_started));
+        for (key, has_started) in expired {
+            actions.extend(self.expire_job(now_ms, key, has_started));
         }
         actions
     }
 
-    fn give_up(
+    fn expire_job(
         &mut self,
         now_ms: u64,
         key: jobs::JobKey,
@@ -57,7 +59,7 @@
     ) -> Vec<dispatch::Action> {
         if has_started {
             self.counts.given_up += 1;
-            return self.end(
+            return self.end_job(
                 now_ms,
                 key,
                 Some(dispatch::Outcome::GivenUp),
@@ -65,25 +67,26 @@
             );
         }
         self.counts.not_run += 1;
-        let retry_after_ms = self.drain_ms(now_ms).max(MIN_RETRY_MS);
-        self.end(
+        let retry_after_ms = self.drain_ms(now_ms).max(MIN_RETRY_AFTER_MS);
+        self.end_job(
             now_ms,
             key,
             Some(dispatch::Outcome::NotRun { retry_after_ms }),
-            "no room in time",
+            "no capacity in time",
         )
     }
 
-    /// How long the work that waits takes on the runners that are in sight, in milliseconds.
+    /// Estimates how long the usable watched runners need for all waiting jobs, in milliseconds.
     fn drain_ms(&self, now_ms: u64) -> u64 {
         let usable = self
             .watched_runners()
             .filter(|(_, runner)| runner.is_usable(now_ms));
-        let cpu: u64 = usable
+        let total_cpu_milli: u64 = usable
             .map(|(_, runner)| u64::from(runner.load.size.cpu_milli))
             .sum();
         let waiting = self.waiting.iter().filter_map(|key| self.jobs.get(*key));
         let work: u64 = waiting.map(|open| open.job.work()).sum();
-        work.checked_div(cpu).unwrap_or(MIN_RETRY_MS)
+        work.checked_div(total_cpu_milli)
+            .unwrap_or(MIN_RETRY_AFTER_MS)
     }
 }
--- a/src/leased/dispatch/jobs.rs
+++ b/src/leased/dispatch/jobs.rs
@@ -1,4 +1,4 @@
-//! An open job of an entry.
+//! Open jobs of an entry.
 
 use std::collections;
 
@@ -11,76 +11,76 @@
 use crate::leased::queues;
 
 slotmap::new_key_type! {
-    /// A job in the arena of an entry.
+    /// Key of an open job.
     pub struct JobKey;
 }
 
-/// Who waits for an answer, by the number that the surroundings gave it.
+/// Number by which the entry's control thread knows a caller that awaits an answer.
 pub type Waiter = u64;
 
-/// Where a task stands.
+/// State of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It waits for room, or for earlier steps.
+    /// Waits for capacity or for earlier steps.
     Waiting,
-    /// It runs at a runner, or is on its way there.
-    At(runners::RunnerKey),
-    /// It is done.
+    /// Runs at a runner, or its order is in flight.
+    Assigned(runners::RunnerKey),
+    /// Has completed.
     Done,
 }
 
-/// One task.
+/// Task of an open job.
 #[derive(Clone, Copy, Debug)]
 pub struct Task {
-    /// Its step.
+    /// Step that the task belongs to.
     pub step: u16,
-    /// Its place in the step.
+    /// Index of the task within its step.
     pub index: u32,
-    /// How many runs were ordered.
+    /// Number of runs ordered so far.
     pub run: u32,
-    /// How many runs failed.
+    /// Number of runs that failed.
     pub failed: u32,
-    /// Where it stands.
+    /// Current state.
     pub state: State,
 }
 
-/// An open job.
+/// Job that its entry has accepted and not yet answered.
 #[derive(Clone, Debug)]
-pub struct Open {
-    /// What was handed in.
+pub struct OpenJob {
+    /// Job as submitted.
     pub job: job::Job,
     /// Name of its queue.
     pub queue: SmolStr,
-    /// Service whose backend servers run it.
+    /// Service whose backend servers run the tasks.
     pub service: SmolStr,
-    /// How many queues of its service go before its own, by their priorities.
+    /// Number of distinct priorities of the service's queues that come before this queue's.
     pub precedence: u8,
-    /// What runs like its tasks, for comparing runners.
+    /// Kind of the tasks, by which runners are compared.
     pub kind: health::Kind,
-    /// Runs of one task that may end as failed.
+    /// Number of failed runs of one task after which the job fails.
     pub max_attempts: u32,
-    /// When it came.
+    /// Time of arrival.
     pub arrived_ms: u64,
-    /// When its caller is gone.
+    /// Time at which the caller stops waiting.
     pub deadline_ms: u64,
-    /// When it should be complete, counted from the caller's first try.
+    /// Time by which the job should complete, counted from the caller's first attempt.
     pub due_ms: u64,
-    /// Until when it may wait to begin, if it could be complete by then.
+    /// Latest completion time; a job that has not started and cannot complete by then is refused.
     pub hold_until_ms: u64,
-    /// Time that the caller grants in all, in milliseconds.
+    /// Time that the caller allows from arrival to completion, in milliseconds.
     pub objective_ms: u64,
-    /// Its tasks.
+    /// Tasks of all steps.
     pub tasks: Vec<Task>,
-    /// Tasks of each step that are not done.
-    pub left: Vec<u32>,
-    /// Whether a run of it has begun, or may have.
-    pub has_begun: bool,
-    /// Who waits for its answer.
+    /// Number of unfinished tasks, by step.
+    pub unfinished: Vec<u32>,
+    /// Whether a run has started, or may have.
+    pub may_have_run: bool,
+    /// Callers that await the answer.
     pub waiters: Vec<Waiter>,
 }
 
-impl Open {
-    /// Opens a job.
+impl OpenJob {
+    /// Creates an open job that arrived at `now_ms`.
     pub fn new(
         now_ms: u64,
         job: job::Job,
@@ -91,79 +91,80 @@
     ) -> Self {
         let objective_ms = objective_ms(job.critical_path_ms(), queue);
         let steps = job.steps.iter().zip(0..);
-        let tasks =
-            steps.flat_map(|(step, at)| (0..step.tasks).map(move |index| new_task(at, index)));
+        let tasks = steps
+            .flat_map(|(step, number)| (0..step.tasks).map(move |index| new_task(number, index)));
         Self {
             tasks: tasks.collect(),
-            left: job.steps.iter().map(|step| step.tasks).collect(),
+            unfinished: job.steps.iter().map(|step| step.tasks).collect(),
             queue: queue.name.clone(),
             service: queue.service.clone(),
             precedence: 0,
             kind,
             max_attempts: queue.max_attempts.max(1),
             arrived_ms: now_ms,
-            // A caller knows how much work its job is; the queue's limit is for whoever says nothing.
+            // The caller knows the size of its job; the queue's limit is only the default.
             deadline_ms: now_ms + timeout_ms.unwrap_or(queue.timeout_ms),
             due_ms: now_ms + objective_ms,
             hold_until_ms: now_ms + objective_ms,
             objective_ms,
-            has_begun: false,
+            may_have_run: false,
             waiters: vec![waiter],
             job,
         }
     }
 
-    /// Its caller has waited for so long before it came.
+    /// Makes the job due earlier by the time that its caller waited before this attempt.
     ///
-    /// That makes the job late sooner. It may wait for room as long as others all the same:
-    /// its caller still wants the answer.
-    pub const fn note_waited(&mut self, waited_ms: u64) {
+    /// The job counts as late sooner, but may wait for capacity as long as others: its caller
+    /// still wants the answer.
+    pub const fn add_prior_wait(&mut self, waited_ms: u64) {
         self.due_ms = self.due_ms.saturating_sub(waited_ms);
     }
 
-    /// Tasks that wait and whose earlier steps are complete.
-    pub fn ready(&self) -> impl Iterator<Item = usize> {
-        let is_open = |task: &Task| {
+    /// Returns the indices of waiting tasks whose earlier steps are complete.
+    pub fn ready_tasks(&self) -> impl Iterator<Item = usize> {
+        let is_ready = |task: &Task| {
             let after = &self.job.steps[usize::from(task.step)].after;
-            after.iter().all(|&step| self.left[usize::from(step)] == 0)
+            after
+                .iter()
+                .all(|&step| self.unfinished[usize::from(step)] == 0)
         };
         let tasks = self.tasks.iter().enumerate();
         tasks
-            .filter(move |(_, task)| task.state == State::Waiting && is_open(task))
-            .map(|(at, _)| at)
+            .filter(move |(_, task)| task.state == State::Waiting && is_ready(task))
+            .map(|(task_index, _)| task_index)
     }
 
-    /// Whether every task is done.
+    /// Returns whether every task has completed.
     pub fn is_complete(&self) -> bool {
-        self.left.iter().all(|&left| left == 0)
+        self.unfinished.iter().all(|&count| count == 0)
     }
 
-    /// Whether anything of it has run, runs, or is on its way to a runner.
+    /// Returns whether anything of the job has run, runs, or is in flight to a runner.
     ///
-    /// Orders that a runner refused don't count: nothing of them ran, so the job is still in
-    /// line with the others, and its caller can truly be told that nothing did. Counted as
-    /// started, it went before all others although it was late, and was held until its
-    /// caller's deadline.
+    /// Orders that a runner refused don't count. Nothing of them ran, so the job keeps its rank
+    /// among the waiting jobs, and its caller can be told that nothing ran. If they counted, a late
+    /// job would go before all others and be held until its caller's deadline.
     pub fn has_started(&self) -> bool {
-        self.has_begun || self.is_running()
+        self.may_have_run || self.has_active_run()
     }
 
-    /// Whether anything of it runs or is on its way.
-    fn is_running(&self) -> bool {
+    /// Returns whether any task runs or is in flight to a runner.
+    fn has_active_run(&self) -> bool {
         self.tasks
             .iter()
-            .any(|task| matches!(task.state, State::At(_)))
+            .any(|task| matches!(task.state, State::Assigned(_)))
     }
 
-    /// Names the next run of a task.
-    pub fn next_run(&mut self, at: usize) -> messages::RunId {
-        self.tasks[at].run += 1;
-        self.run_id(at)
+    /// Starts a new run number for a task and returns the id of that run.
+    pub fn next_run_id(&mut self, task_index: usize) -> messages::RunId {
+        self.tasks[task_index].run += 1;
+        self.run_id(task_index)
     }
 
-    /// Names the current run of a task.
-    pub fn run_id(&self, at: usize) -> messages::RunId {
-        let task = self.tasks[at];
+    /// Returns the id of a task's current run.
+    pub fn run_id(&self, task_index: usize) -> messages::RunId {
+        let task = self.tasks[task_index];
         messages::RunId {
             job: self.job.id.clone(),
             step: task.step,
@@ -172,12 +173,14 @@
         }
     }
 
-    /// Runs of it by runner, for taking them back.
-    pub fn runs(&self) -> collections::HashMap<runners::RunnerKey, Vec<messages::RunId>> {
+    /// Returns the ids of all runs that are placed, by runner.
+    pub fn runs_by_runner(&self) -> collections::HashMap<runners::RunnerKey, Vec<messages::RunId>> {
         let mut runs: collections::HashMap<_, Vec<_>> = collections::HashMap::new();
-        for at in 0..self.tasks.len() {
-            if let State::At(runner) = self.tasks[at].state {
-                runs.entry(runner).or_default().push(self.run_id(at));
+        for task_index in 0..self.tasks.len() {
+            if let State::Assigned(runner) = self.tasks[task_index].state {
+                runs.entry(runner)
+                    .or_default()
+                    .push(self.run_id(task_index));
             }
         }
         runs
@@ -194,7 +197,8 @@
     }
 }
 
-/// Time that a caller grants: its queue's multiple of the work itself, and some more.
+/// Returns the time allowed for a job: a multiple of its critical path plus a constant, both
+/// from its queue.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! An entry's decisions about jobs under leases, without network or clock.
+//! Decides for an entry where runs under leases go, without access to network or clock.
 
 pub mod directives_fetch;
 pub mod ejection;
@@ -27,77 +27,79 @@
 use crate::metrics;
 use crate::settings;
 
-/// How long a watch waits at a runner for news, in milliseconds; the entry's lease there
-/// is renewed as often.
+/// Time that a watch waits at a runner for changes, in milliseconds.
+///
+/// The entry renews its lease there at the same interval.
 pub const WATCH_WAIT_MS: u64 = 150;
 
-/// How long a watch waits at a runner where the entry has no runs, in milliseconds: below
-/// the silence of 450 ms after which a runner gets no work. Asked as often as where it has
-/// runs, some dozen idle runners would take much of an entry that has an eighth of a core.
+/// Time that a watch waits at a runner that holds no runs of the entry, in milliseconds.
+///
+/// It is below the silence of 450 ms after which a runner receives no work. At the shorter
+/// interval, a few dozen idle runners would take much of an entry that has an eighth of a core.
 pub const IDLE_WATCH_WAIT_MS: u64 = 350;
 
-/// What the entry's surroundings must do.
+/// Action that the caller of the dispatcher has to carry out.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send an order.
+    /// Sends an order to the runner at an address.
     Order(runners::RunnerKey, SmolStr, messages::Order),
-    /// Keep a watch open at a runner.
+    /// Keeps a watch open at a runner.
     Watch(runners::RunnerKey),
-    /// Tell a caller how its job ended.
+    /// Answers a caller with the outcome of its job.
     Answer(jobs::Waiter, Outcome),
-    /// Ask another entry, by its address, for what it knows.
+    /// Fetches the directives from another entry, given by its address.
     Fetch(SmolStr),
 }
 
-/// How a job ended for its caller.
+/// Outcome of a job for its caller.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// Every task is done.
+    /// Every task has completed.
     Completed,
     /// A task failed as often as its queue allows.
     Failed,
-    /// Nothing of it ran and nothing will.
+    /// Nothing ran, and nothing will.
     NotRun {
-        /// When the caller should come back, in milliseconds.
+        /// Time after which the caller should retry, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It was given up after something of it may have run.
+    /// The deadline passed after something may have run.
     GivenUp,
-    /// Its caller has cancelled it.
+    /// The caller cancelled the job.
     Cancelled,
 }
 
-/// Counts for the metrics.
+/// Counters for the metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    /// Jobs taken in.
+    /// Jobs accepted.
     pub accepted: u64,
-    /// Jobs answered as completed.
+    /// Jobs completed.
     pub completed: u64,
-    /// Of those, later than their objective.
+    /// Jobs completed after their due time.
     pub late: u64,
-    /// Jobs answered as failed.
+    /// Jobs failed.
     pub failed: u64,
-    /// Jobs refused without a run.
+    /// Jobs refused before anything ran.
     pub not_run: u64,
-    /// Jobs given up after something may have run.
+    /// Jobs whose deadline passed after something may have run.
     pub given_up: u64,
-    /// Jobs whose callers left or cancelled.
+    /// Jobs cancelled by their callers, or whose callers disconnected.
     pub cancelled: u64,
     /// Runs ordered.
     pub ordered: u64,
-    /// Runs that a runner did not take in or could not start.
+    /// Runs that a runner refused or could not start.
     pub not_started: u64,
-    /// Runs that were lost or stopped while their job still wanted them.
+    /// Runs that ended without a result while their job still needed them.
     pub lost: u64,
-    /// How long completed jobs took.
+    /// Time from arrival to completion of completed jobs.
     pub took: metrics::Histogram,
 }
 
-/// The state of one entry.
+/// Dispatcher of one entry.
 #[derive(Debug)]
 pub struct Dispatcher {
-    me: ids::Incarnation,
+    incarnation: ids::Incarnation,
     zone: SmolStr,
     directives: directives::InForce,
     directives_fetch: directives_fetch::DirectivesFetch,
@@ -105,22 +107,22 @@
     runners: SlotMap<runners::RunnerKey, runners::Runner>,
     by_address: collections::HashMap<SmolStr, runners::RunnerKey>,
     watches: watching::Watches,
-    jobs: SlotMap<jobs::JobKey, jobs::Open>,
+    jobs: SlotMap<jobs::JobKey, jobs::OpenJob>,
     by_id: collections::HashMap<SmolStr, jobs::JobKey>,
     waiting: Vec<jobs::JobKey>,
     health: health::Health,
     prior_wait: prior_wait::PriorWait,
     policy: settings::Policy,
-    looked_ms: u64,
+    running_checked_ms: u64,
     swept_ms: u64,
     counts: Counts,
 }
 
 impl Dispatcher {
-    /// An entry that has heard nothing yet.
-    pub fn new(me: ids::Incarnation, zone: SmolStr) -> Self {
+    /// Creates a dispatcher that knows no runners and no directives.
+    pub fn new(incarnation: ids::Incarnation, zone: SmolStr) -> Self {
         Self {
-            me,
+            incarnation,
             zone,
             directives: directives::InForce::default(),
             directives_fetch: directives_fetch::DirectivesFetch::default(),
@@ -134,45 +136,45 @@
             health: health::Health::default(),
             prior_wait: prior_wait::PriorWait::default(),
             policy: settings::Policy::default(),
-            looked_ms: 0,
+            running_checked_ms: 0,
             swept_ms: 0,
             counts: Counts::default(),
         }
     }
 
-    /// The same entry, with so many runners of each service that it watches in any case.
+    /// Sets the number of runners of each service that are always watched.
     #[must_use]
     pub const fn with_watch_set(mut self, size: usize) -> Self {
         self.watches.size = size;
         self
     }
 
-    /// Counts for the metrics.
+    /// Returns the counters for the metrics.
     pub const fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Jobs that are open.
+    /// Returns the number of open jobs.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Jobs that wait for room.
+    /// Returns the number of jobs that wait for capacity.
     pub const fn waiting_jobs(&self) -> usize {
         self.waiting.len()
     }
 
-    /// How many runners are known.
+    /// Returns the number of known runners.
     pub fn runners(&self) -> usize {
         self.runners.len()
     }
 
-    /// How many runners are watched.
+    /// Returns the number of watched runners.
     pub fn watched(&self) -> usize {
         self.watches.open().len()
     }
 
-    /// How many of the watched runners take work.
+    /// Returns the number of watched runners that accept work.
     pub fn usable(&self, now_ms: u64) -> usize {
         let watched = self.watched_runners();
         watched
@@ -185,38 +187,38 @@
         open.map(|key| (*key, &self.runners[*key]))
     }
 
-    /// Addresses of all runners, for another entry.
+    /// Returns the addresses of all known runners.
     pub fn addresses(&self) -> Vec<SmolStr> {
         self.by_address.keys().cloned().collect()
     }
 
-    /// The directives in force.
+    /// Returns the directives in force.
     pub const fn directives(&self) -> &directives::InForce {
         &self.directives
     }
 
-    /// The queues in force; empty as long as there is no configuration.
+    /// Returns the queues in force; there are none before the first configuration.
     pub const fn queues(&self) -> &sync::Arc<queues::Queues> {
         &self.queues
     }
 
-    /// How many accepted jobs of a queue have nothing started.
+    /// Returns the number of accepted jobs of a queue that have not started.
     pub fn pending(&self, queue: &str) -> usize {
         let jobs = self.jobs.values();
         jobs.filter(|open| open.queue == queue && !open.has_started())
             .count()
     }
 
-    /// Whether a job is known and open.
+    /// Returns whether an open job has started, or `None` if no such job is open.
     pub fn is_started(&self, id: &str) -> Option<bool> {
         let key = self.by_id.get(id)?;
         Some(self.jobs.get(*key)?.has_started())
     }
 
-    /// The store, or another process, told what operators ask for; whether it was news.
-    pub fn update_directives(&mut self, heard: directives::Directives) -> bool {
+    /// Applies directives from the store or another process; returns whether they are newer.
+    pub fn update_directives(&mut self, received: directives::Directives) -> bool {
         let before = sync::Arc::clone(self.directives.get());
-        if !self.directives.advance(heard) {
+        if !self.directives.advance(received) {
             return false;
         }
         let current = self.directives.get();
@@ -228,22 +230,22 @@
         true
     }
 
-    /// Another entry has answered what it knows, or not.
+    /// Notes that a fetch from another entry has succeeded or failed.
     pub fn fetch_answered(&mut self, now_ms: u64) {
         self.directives_fetch.answered(now_ms);
     }
 
-    fn catch_up(&mut self, now_ms: u64) -> Option<Action> {
+    fn fetch_directives(&mut self, now_ms: u64) -> Option<Action> {
         let is_lacking = self.directives.is_outdated();
-        let has_any = self.directives.get().is_configured();
+        let has_older = self.directives.get().is_configured();
         let holder = self
             .directives_fetch
-            .next_holder(now_ms, is_lacking, has_any)?;
-        log::info!(event = "directives.fetch", from = holder.as_str(), version = self.directives.latest().get().version, held = self.directives.get().version; "the store hasn't told; asking");
+            .next_holder(now_ms, is_lacking, has_older)?;
+        log::info!(event = "directives.fetch", from = holder.as_str(), version = self.directives.latest().get().version, held = self.directives.get().version; "newer configuration not received from the store; fetching it from another entry");
         Some(Action::Fetch(holder))
     }
 
-    /// A caller hands a job in; `timeout_ms` is how long it waits at most, if it says so.
+    /// Accepts a job; `timeout_ms` is the longest time that the caller waits, if it gave one.
     pub fn submit(
         &mut self,
         now_ms: u64,
@@ -257,26 +259,27 @@
             .get(&job.id)
             .and_then(|key| self.jobs.get_mut(*key))
         {
-            // The caller lost its connection and asks again: one life goes on, no second begins.
-            log::info!(event = "job.joined", job = job.id.as_str(), age_ms = now_ms - open.arrived_ms; "already open here");
+            // The caller lost its connection and retries: it joins the open job, and no second
+            // one starts.
+            log::info!(event = "job.joined", job = job.id.as_str(), age_ms = now_ms - open.arrived_ms; "job is already open; joined it");
             open.waiters.push(waiter);
             return Vec::new();
         }
         let kind = self.health.intern_kind(&queue.service, &queue.name);
-        let mut open = jobs::Open::new(now_ms, job, queue, timeout_ms, waiter, kind);
+        let mut open = jobs::OpenJob::new(now_ms, job, queue, timeout_ms, waiter, kind);
         open.precedence = self.queues.precedence(queue);
         let waited_ms = self.prior_wait.waited_ms(queue, timeout_ms);
-        open.note_waited(waited_ms);
-        log::info!(event = "job.accept", job = open.job.id.as_str(), queue = open.queue.as_str(), tasks = open.tasks.len(), estimate_ms = open.job.critical_path_ms(), objective_ms = open.objective_ms, precedence = open.precedence, timeout_ms = open.deadline_ms - now_ms, waited_ms = waited_ms, waiting = self.waiting.len(), configuration = self.directives.get().version; "accepted");
+        open.add_prior_wait(waited_ms);
+        log::info!(event = "job.accept", job = open.job.id.as_str(), queue = open.queue.as_str(), tasks = open.tasks.len(), estimate_ms = open.job.critical_path_ms(), objective_ms = open.objective_ms, precedence = open.precedence, timeout_ms = open.deadline_ms - now_ms, waited_ms = waited_ms, waiting = self.waiting.len(), configuration = self.directives.get().version; "job accepted");
         self.counts.accepted += 1;
         let id = open.job.id.clone();
         let key = self.jobs.insert(open);
         self.by_id.insert(id, key);
         self.waiting.push(key);
-        self.fill(now_ms)
+        self.schedule(now_ms)
     }
 
-    /// A caller that waited is gone, or cancels its own wait.
+    /// Removes a caller that disconnected, and ends the job if no other caller waits for it.
     pub fn remove_waiter(&mut self, now_ms: u64, id: &str, waiter: jobs::Waiter) -> Vec<Action> {
         let Some(&key) = self.by_id.get(id) else {
             return Vec::new();
@@ -289,17 +292,17 @@
             return Vec::new();
         }
         self.counts.cancelled += 1;
-        self.end(now_ms, key, None, "caller gone")
+        self.end_job(now_ms, key, None, "caller disconnected")
     }
 
-    /// A caller cancels a job; none: it isn't known.
+    /// Cancels a job; returns `None` if no such job is open.
     pub fn cancel(&mut self, now_ms: u64, id: &str) -> Option<Vec<Action>> {
         let key = *self.by_id.get(id)?;
         self.counts.cancelled += 1;
-        Some(self.end(now_ms, key, Some(Outcome::Cancelled), "cancelled"))
+        Some(self.end_job(now_ms, key, Some(Outcome::Cancelled), "cancelled"))
     }
 
-    /// An order was answered.
+    /// Processes the answer to an order.
     pub fn order_answered(
         &mut self,
         now_ms: u64,
@@ -311,13 +314,13 @@
             return Vec::new();
         };
         for (id, why) in &reply.refused {
-            log::info!(event = "order.refused", job = id.job.as_str(), run:% = id, runner = runner.address().as_str(), why:? = why, free_milli = reply.load.size.minus(&reply.load.used).cpu_milli; "not taken in");
+            log::info!(event = "order.refused", job = id.job.as_str(), run:% = id, runner = runner.address().as_str(), why:? = why, free_milli = reply.load.size.minus(&reply.load.used).cpu_milli; "runner refused the run");
         }
-        let over = runner.order_answered(now_ms, order, reply);
-        self.take_over(now_ms, key, over)
+        let ended = runner.order_answered(now_ms, order, reply);
+        self.apply_ends(now_ms, key, ended)
     }
 
-    /// An order was not answered; `is_unsent` tells that it was surely not sent.
+    /// Processes an order without an answer; `is_unsent` tells that it was certainly not sent.
     pub fn order_lost(
         &mut self,
         now_ms: u64,
@@ -328,15 +331,15 @@
         let Some(runner) = self.runners.get_mut(key) else {
             return Vec::new();
         };
-        log::warn!(event = "order.lost", runner = runner.address().as_str(), number = order.number, runs = order.starts.len(), unsent = is_unsent; "no answer");
+        log::warn!(event = "order.lost", runner = runner.address().as_str(), number = order.number, runs = order.starts.len(), unsent = is_unsent; "no answer to the order; its runs stay placed until the runner reports, unless it was not sent");
         if !is_unsent {
             return Vec::new();
         }
-        let over = runner.unsent(order);
-        self.take_over(now_ms, key, over)
+        let ended = runner.order_unsent(order);
+        self.apply_ends(now_ms, key, ended)
     }
 
-    /// The next watch for a runner; none: it is closed, or the runner is forgotten.
+    /// Returns the next watch for a runner, or `None` if it was closed or the runner removed.
     pub fn next_watch(
         &mut self,
         now_ms: u64,
@@ -348,9 +351,9 @@
         let wants_room = !self.waiting.is_empty();
         let runner = self.runners.get_mut(key)?;
         let jobs = &self.jobs;
-        let mut watch = runner.watch(now_ms, self.me, |placed| {
+        let mut watch = runner.build_watch(now_ms, self.incarnation, |placed| {
             let open = jobs.get(placed.job);
-            open.is_some_and(|open| open.tasks[placed.task].state == jobs::State::At(key))
+            open.is_some_and(|open| open.tasks[placed.task].state == jobs::State::Assigned(key))
         });
         watch.wants_room = wants_room;
         let is_idle = runner.placed() == 0 && !wants_room;
@@ -366,7 +369,7 @@
         Some((runner.address().clone(), watch))
     }
 
-    /// A watch was answered.
+    /// Processes the answer to a watch.
     pub fn report_received(
         &mut self,
         now_ms: u64,
@@ -381,28 +384,28 @@
         let mut report = report;
         let notice = report.notice.take();
         let holder = report.holder.take();
-        let over = runner.report_received(now_ms, report);
+        let ended = runner.report_received(now_ms, report);
         if was_usable != runner.is_usable(now_ms) {
-            log::info!(event = "runner.changed", runner = runner.address().as_str(), readiness:? = runner.load.readiness, zone = runner.load.zone.as_str(), silence_ms = silence_ms; "heard");
+            log::info!(event = "runner.changed", runner = runner.address().as_str(), readiness:? = runner.load.readiness, zone = runner.load.zone.as_str(), silence_ms = silence_ms; "runner started or stopped accepting work");
         }
-        self.note_whereabouts(key);
+        self.update_location(key);
         if let Some(notice) = notice {
             self.directives.update_notice(&notice);
         }
         if let Some(holder) = holder {
             self.directives_fetch.add_holder(holder);
         }
-        self.take_over(now_ms, key, over)
+        self.apply_ends(now_ms, key, ended)
     }
 
-    fn wait(&mut self, key: jobs::JobKey) {
+    fn enqueue(&mut self, key: jobs::JobKey) {
         if !self.waiting.contains(&key) {
             self.waiting.push(key);
         }
     }
 
-    /// Ends a job: who waits is told, and what still runs of it is taken back.
-    fn end(
+    /// Ends a job: answers its callers and stops the runs that are left.
+    fn end_job(
         &mut self,
         now_ms: u64,
         key: jobs::JobKey,
@@ -414,11 +417,11 @@
         };
         self.by_id.remove(&open.job.id);
         self.waiting.retain(|other| *other != key);
-        let runs = open.runs();
-        log::info!(event = "job.end", job = open.job.id.as_str(), queue = open.queue.as_str(), outcome:? = outcome, why = why, took_ms = now_ms - open.arrived_ms, objective_ms = open.objective_ms, taken_back = runs.len(); "ended");
+        let runs = open.runs_by_runner();
+        log::info!(event = "job.end", job = open.job.id.as_str(), queue = open.queue.as_str(), outcome:? = outcome, why = why, took_ms = now_ms - open.arrived_ms, objective_ms = open.objective_ms, taken_back = runs.len(); "job ended");
         let mut actions = Vec::new();
         for (runner, ids) in runs {
-            actions.extend(self.order(now_ms, runner, Vec::new(), ids));
+            actions.extend(self.send_order(now_ms, runner, Vec::new(), ids));
         }
         if let Some(outcome) = outcome {
             let answers = open
@@ -430,29 +433,29 @@
         actions
     }
 
-    fn order(
+    fn send_order(
         &mut self,
         now_ms: u64,
         key: runners::RunnerKey,
-        starts: Vec<runners::Planned>,
+        starts: Vec<runners::PlannedRun>,
         stops: Vec<messages::RunId>,
     ) -> Option<Action> {
         if !starts.is_empty() {
-            self.note_use(now_ms, key);
+            self.extend_watch(now_ms, key);
         }
         let runner = self.runners.get_mut(key)?;
-        let order = runner.order(now_ms, self.me, starts, stops)?;
+        let order = runner.build_order(now_ms, self.incarnation, starts, stops)?;
         Some(Action::Order(key, runner.address().clone(), order))
     }
 }
 
-fn view(open: &jobs::Open) -> urgency::View {
+fn urgency_view(open: &jobs::OpenJob) -> urgency::View {
     urgency::View {
         has_started: open.has_started(),
         precedence: open.precedence,
         due_ms: open.due_ms,
         hold_until_ms: open.hold_until_ms,
         deadline_ms: open.deadline_ms,
-        left_ms: open.job.critical_path_ms(),
+        remaining_ms: open.job.critical_path_ms(),
     }
 }
--- a/src/leased/dispatch/placement.rs
+++ b/src/leased/dispatch/placement.rs
@@ -1,17 +1,18 @@
-//! Which runners a job's tasks go to.
+//! Chooses runners for the tasks of a job.
 //!
-//! Each task goes out as soon as there is room for it, the most urgent job's first, and
-//! a job that has begun goes before all others. Jobs of the most urgent queue begin with the
-//! tasks that find a place, as everything else gives way to the rest of them. Others begin
-//! only where all their tasks find one: begun in part under more work than room, a job holds
-//! room for tasks whose answer is late all the same, for want of the last one. Near runners go first (bytes
-//! between availability zones cost, and a way is longer), and of those the first with room
-//! in an order that each entry has for itself.
+//! Jobs are placed in order of urgency, jobs that have started first. A job of the most urgent
+//! queue starts with whichever tasks fit, because everything else yields to the rest of it. Any
+//! other job starts only if all its tasks fit. Under overload, a partly started job would hold
+//! capacity for tasks whose answer is late anyway for want of the last one.
 //!
-//! What an entry knows of others' work is up to a watch old. Where all entries look for the
-//! same thing, such as the least room that is enough, they pick the same runner, and all but
-//! one are refused. With an order of its own an entry fills runners that others leave alone,
-//! and what it knows of those is its own doing.
+//! Runners in the entry's own availability zone come first, since traffic between zones costs
+//! money and has a higher latency. Among those, each entry goes through the runners in an order
+//! of its own and takes the first one with free capacity.
+//!
+//! An entry's view of other entries' work is up to one watch old. If all entries used the same
+//! criterion, such as best fit, they would choose the same runner, and all but one would be
+//! refused. With its own order, an entry fills runners that others leave alone, so that most of
+//! the work there is its own and known to it.
 
 use std::collections;
 use std::sync;
@@ -23,107 +24,109 @@
 use crate::leased::messages;
 use crate::wire;
 
-/// Part of a backend server that stays free when a late job takes room there, as a divisor:
-/// two or three tasks, which is what comes before the next report.
-const SPARE_SHARE: u32 = 4;
+/// Divisor of a backend server's size that gives the capacity a late job has to leave free.
+///
+/// That is two or three tasks, about as many as arrive before the next report.
+const SPARE_DIVISOR: u32 = 4;
 
-/// A runner that may get tasks.
+/// Runner that may receive tasks.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// Which.
+    /// Key of the runner.
     pub key: runners::RunnerKey,
-    /// What is free there.
+    /// Free capacity.
     pub free: wire::Resources,
-    /// Thousandths of a core that it has in all.
+    /// Total processor time of the backend server, in thousandths of a core.
     pub size_milli: u32,
-    /// Thousandths of a core that may still wait there for room, in each class of urgency.
-    pub line_milli: [u32; messages::URGENCY_CLASSES],
-    /// Thousandths of a core that were put into the line since.
-    pub line_taken_milli: u32,
-    /// Whether any other is to be preferred, by how the tasks there fare.
+    /// Free space in the runner's wait queue for each urgency class, in thousandths of a core.
+    pub queue_free_milli: [u32; messages::URGENCY_CLASSES],
+    /// Space in the wait queue taken during this placement, in thousandths of a core.
+    pub queue_taken_milli: u32,
+    /// Whether any other runner is preferred because tasks fail or run slowly here.
     pub is_suspect: bool,
-    /// How many tasks more it may get.
-    pub places: u32,
-    /// Whether it is in the entry's own availability zone.
-    pub is_near: bool,
-    /// Where the entry looks first: the least goes first.
+    /// Number of further tasks that the runner may receive.
+    pub task_allowance: u32,
+    /// Whether the runner is in the entry's own availability zone.
+    pub is_same_zone: bool,
+    /// Position in the entry's own order of runners; the lowest comes first.
     pub preference: u64,
-    /// Its labels.
+    /// Labels of the backend server.
     pub labels: sync::Arc<[SmolStr]>,
 }
 
-/// What one task asks for.
+/// Requirements of one task.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// Its place in the job's list.
+pub struct Request<'a> {
+    /// Index of the task in its job.
     pub task: usize,
-    /// Its step, for the most tasks of a step on one backend server.
+    /// Step of the task, to which `max_per_server` applies.
     pub step: u16,
-    /// What it takes.
+    /// Resources that the task takes.
     pub need: wire::Resources,
-    /// A label that it needs.
+    /// Label that the backend server must have.
     pub label: Option<&'a SmolStr>,
-    /// The rack near its data.
+    /// Rack close to the task's data.
     pub rack: Option<&'a SmolStr>,
-    /// At most so many of its step on one backend server.
+    /// Maximum number of tasks of the step on one backend server.
     pub max_per_server: u32,
-    /// Whether it may wait at a runner for room.
+    /// Whether the task may wait for capacity at a runner.
     pub may_wait: bool,
-    /// Its job's class of urgency.
+    /// Urgency class of the job.
     pub class: u8,
 }
 
-/// Where a task goes.
+/// Runner chosen for a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Target {
-    /// Its place in the job's list.
+    /// Index of the task in its job.
     pub task: usize,
-    /// The runner.
+    /// Key of the runner.
     pub runner: runners::RunnerKey,
-    /// Whether it has to wait there for room.
+    /// Whether the task has to wait there for capacity.
     pub waits: bool,
 }
 
-/// How many tasks of a step each runner got.
+/// Number of tasks of a step placed at each runner.
 type Counts = collections::HashMap<(u16, runners::RunnerKey), u32>;
 
-/// Places all tasks that are asked for, or none of them.
-pub fn place_all(asks: &[Ask<'_>], candidates: &mut [Candidate]) -> Vec<Target> {
-    let placed = place(asks, candidates);
-    if placed.len() == asks.len() {
+/// Places all requested tasks, or none of them.
+pub fn place_all(requests: &[Request<'_>], candidates: &mut [Candidate]) -> Vec<Target> {
+    let placed = place(requests, candidates);
+    if placed.len() == requests.len() {
         return placed;
     }
     for target in placed {
-        let ask = asks.iter().find(|ask| ask.task == target.task);
-        let held = candidates
+        let request = requests.iter().find(|request| request.task == target.task);
+        let holder = candidates
             .iter_mut()
             .find(|candidate| candidate.key == target.runner);
-        if let (Some(ask), Some(candidate)) = (ask, held) {
-            candidate.give_back(&ask.need, target.waits);
+        if let (Some(request), Some(candidate)) = (request, holder) {
+            candidate.release(&request.need, target.waits);
         }
     }
     Vec::new()
 }
 
-/// Places as many tasks as fit, or may wait, and takes their room from the candidates.
-pub fn place(asks: &[Ask<'_>], candidates: &mut [Candidate]) -> Vec<Target> {
+/// Places as many tasks as fit or may wait, and reserves their capacity in the candidates.
+pub fn place(requests: &[Request<'_>], candidates: &mut [Candidate]) -> Vec<Target> {
     let mut counts = Counts::new();
-    let mut placed = Vec::with_capacity(asks.len());
-    let mut full_step = None;
-    for ask in asks {
-        if full_step == Some(ask.step) {
-            // The tasks of a step ask for the same; in overload most of all asks end here.
+    let mut placed = Vec::with_capacity(requests.len());
+    let mut exhausted_step = None;
+    for request in requests {
+        if exhausted_step == Some(request.step) {
+            // All tasks of a step have the same requirements, so the others don't fit either. Under
+            // overload most requests end here.
             continue;
         }
-        let Some((at, waits)) = find(ask, candidates, &counts) else {
-            full_step = Some(ask.step);
+        let Some((index, waits)) = select(request, candidates, &counts) else {
+            exhausted_step = Some(request.step);
             continue;
         };
-        let best = &mut candidates[at];
-        best.take(&ask.need, waits);
-        *counts.entry((ask.step, best.key)).or_default() += 1;
+        let best = &mut candidates[index];
+        best.reserve(&request.need, waits);
+        *counts.entry((request.step, best.key)).or_default() += 1;
         placed.push(Target {
-            task: ask.task,
+            task: request.task,
             runner: best.key,
             waits,
         });
@@ -131,86 +134,94 @@
     placed
 }
 
-/// The candidate for a task, and whether the task has to wait there: one with room, or else
-/// one with a place in line.
-fn find(ask: &Ask<'_>, candidates: &[Candidate], counts: &Counts) -> Option<(usize, bool)> {
-    let has_room = |candidate: &Candidate| candidate.has_room_for(ask);
-    if let Some(at) = first(ask, candidates, counts, has_room) {
-        return Some((at, false));
+/// Returns the index of the best candidate for a task, and whether the task has to wait there.
+///
+/// A candidate with free capacity goes before one with space in its wait queue.
+fn select(
+    request: &Request<'_>,
+    candidates: &[Candidate],
+    counts: &Counts,
+) -> Option<(usize, bool)> {
+    let has_capacity = |candidate: &Candidate| candidate.has_capacity_for(request);
+    if let Some(index) = preferred(request, candidates, counts, has_capacity) {
+        return Some((index, false));
     }
-    if !ask.may_wait {
+    if !request.may_wait {
         return None;
     }
-    let has_line = |candidate: &Candidate| candidate.has_line_for(ask);
-    first(ask, candidates, counts, has_line).map(|at| (at, true))
+    let has_queue_space = |candidate: &Candidate| candidate.can_queue(request);
+    preferred(request, candidates, counts, has_queue_space).map(|index| (index, true))
 }
 
-fn first(
-    ask: &Ask<'_>,
+fn preferred(
+    request: &Request<'_>,
     candidates: &[Candidate],
     counts: &Counts,
-    has_place: impl Fn(&Candidate) -> bool,
+    is_eligible: impl Fn(&Candidate) -> bool,
 ) -> Option<usize> {
     let all = candidates.iter().enumerate();
     let fitting =
-        all.filter(|(_, candidate)| has_place(candidate) && ask.may_go_to(candidate, counts));
-    let first = fitting.min_by_key(|(_, candidate)| ask.order_of(candidate))?;
-    Some(first.0)
+        all.filter(|(_, candidate)| is_eligible(candidate) && request.allows(candidate, counts));
+    let preferred = fitting.min_by_key(|(_, candidate)| request.sort_key(candidate))?;
+    Some(preferred.0)
 }
 
 impl Candidate {
-    fn take(&mut self, need: &wire::Resources, waits: bool) {
+    fn reserve(&mut self, need: &wire::Resources, waits: bool) {
         if waits {
-            self.line_taken_milli += need.cpu_milli;
+            self.queue_taken_milli += need.cpu_milli;
         } else {
             self.free = self.free.minus(need);
         }
-        self.places -= 1;
+        self.task_allowance -= 1;
     }
 
-    fn give_back(&mut self, need: &wire::Resources, waits: bool) {
+    fn release(&mut self, need: &wire::Resources, waits: bool) {
         if waits {
-            self.line_taken_milli -= need.cpu_milli;
+            self.queue_taken_milli -= need.cpu_milli;
         } else {
             self.free = self.free.plus(need);
         }
-        self.places += 1;
+        self.task_allowance += 1;
     }
 
-    fn has_room_for(&self, ask: &Ask<'_>) -> bool {
-        let spare_milli = if urgency::takes_spare_room_only(ask.class) {
-            self.size_milli / SPARE_SHARE
+    fn has_capacity_for(&self, request: &Request<'_>) -> bool {
+        let spare_milli = if urgency::uses_spare_capacity_only(request.class) {
+            self.size_milli / SPARE_DIVISOR
         } else {
             0
         };
-        ask.need.fits_in(&self.free)
-            && self.free.cpu_milli >= ask.need.cpu_milli.saturating_add(spare_milli)
+        request.need.fits_in(&self.free)
+            && self.free.cpu_milli >= request.need.cpu_milli.saturating_add(spare_milli)
     }
 
-    fn has_line_for(&self, ask: &Ask<'_>) -> bool {
-        let class = usize::from(ask.class).min(messages::URGENCY_CLASSES - 1);
-        self.line_milli[class] >= self.line_taken_milli.saturating_add(ask.need.cpu_milli)
+    fn can_queue(&self, request: &Request<'_>) -> bool {
+        let class = usize::from(request.class).min(messages::URGENCY_CLASSES - 1);
+        self.queue_free_milli[class]
+            >= self
+                .queue_taken_milli
+                .saturating_add(request.need.cpu_milli)
     }
 }
 
-impl Ask<'_> {
-    fn may_go_to(&self, candidate: &Candidate, counts: &Counts) -> bool {
+impl Request<'_> {
+    fn allows(&self, candidate: &Candidate, counts: &Counts) -> bool {
         let has_label = |label| candidate.labels.contains(label);
         let count = || counts.get(&(self.step, candidate.key)).copied();
-        candidate.places > 0
+        candidate.task_allowance > 0
             && (self.max_per_server == u32::MAX || count().unwrap_or(0) < self.max_per_server)
             && self.label.is_none_or(has_label)
     }
 
-    /// Where a candidate stands for this task; the least goes first.
-    fn order_of(&self, candidate: &Candidate) -> (bool, bool, bool, u64) {
-        let is_far_from_data = self
+    /// Returns the order among candidates for this task; the lowest is preferred.
+    fn sort_key(&self, candidate: &Candidate) -> (bool, bool, bool, u64) {
+        let is_outside_rack = self
             .rack
             .is_some_and(|rack| !candidate.labels.contains(rack));
         (
             candidate.is_suspect,
-            is_far_from_data,
-            !candidate.is_near,
+            is_outside_rack,
+            !candidate.is_same_zone,
             candidate.preference,
         )
     }
--- a/src/leased/dispatch/prior_wait.rs
+++ b/src/leased/dispatch/prior_wait.rs
@@ -1,9 +1,9 @@
-//! How long a caller has waited already, as far as its remaining patience tells.
+//! Estimates from its timeout how long a caller has already waited.
 //!
-//! Load that this answers: entries lose power, and as they are back all callers whose
-//! connections broke come again within a second, beside those that come for the first time.
-//! Their jobs are late by now. Counted as new, they take room from jobs that can still be in
-//! time, and most of both are late.
+//! When entries come back after a power loss, all callers whose connections broke retry within
+//! a second, beside the callers that come for the first time. The retried jobs are late already.
+//! If they counted as new, they would take capacity from jobs that can still meet their
+//! deadline, and most of both would be late.
 
 use std::collections;
 
@@ -11,40 +11,42 @@
 
 use crate::leased::queues;
 
-/// Share of a queue's callers with less time than the queue's limit above which that says
-/// nothing of any one of them: they are in a hurry by habit, or the limit is not theirs.
-const HABIT: f64 = 0.5;
+/// Share of a queue's callers with a timeout below the queue's limit above which a short timeout
+/// says nothing about a single caller.
+///
+/// These callers either always use short timeouts, or the limit doesn't match them.
+const HABITUAL_SHARE: f64 = 0.5;
 
-/// Callers over which the share is averaged.
-const MEMORY: f64 = 64.0;
+/// Number of callers over which the share is averaged.
+const AVERAGED_CALLERS: f64 = 64.0;
 
-/// What an entry has seen of its callers' patience.
+/// Estimates prior waits from the timeouts that each queue's callers use.
 #[derive(Debug, Default)]
 pub struct PriorWait {
-    /// By queue, the share of callers with less time than the queue's limit.
-    short: collections::HashMap<SmolStr, f64>,
+    /// Share of callers with a timeout below the queue's limit, by queue name.
+    short_share: collections::HashMap<SmolStr, f64>,
 }
 
 impl PriorWait {
-    /// A caller says how long it waits at most; how long it has surely waited before, in
-    /// milliseconds.
+    /// Returns the time that a caller has certainly waited before, in milliseconds.
     ///
-    /// One that comes for the first time grants the queue's limit, or more.
+    /// A caller that comes for the first time has a timeout of at least the queue's limit. A
+    /// shorter one is the rest of that limit, unless most of the queue's callers use short ones.
     pub fn waited_ms(&mut self, queue: &queues::Queue, timeout_ms: Option<u64>) -> u64 {
         let Some(timeout_ms) = timeout_ms else {
             return 0;
         };
         let waited_ms = queue.timeout_ms.saturating_sub(timeout_ms);
-        let share = self.short.entry(queue.name.clone()).or_default();
-        let is_habit = *share > HABIT;
+        let share = self.short_share.entry(queue.name.clone()).or_default();
+        let is_habitual = *share > HABITUAL_SHARE;
         let is_short = f64::from(u8::from(waited_ms > 0));
-        *share += (is_short - *share) / MEMORY;
-        if is_habit { 0 } else { waited_ms }
+        *share += (is_short - *share) / AVERAGED_CALLERS;
+        if is_habitual { 0 } else { waited_ms }
     }
 
-    /// Forgets queues that are no longer configured.
+    /// Removes queues that are no longer configured.
     pub fn retain(&mut self, queues: &[queues::Queue]) {
-        self.short
+        self.short_share
             .retain(|name, _| queues.iter().any(|queue| queue.name == *name));
     }
 }
--- a/src/leased/dispatch/run_ends.rs
+++ b/src/leased/dispatch/run_ends.rs
@@ -1,4 +1,4 @@
-//! What becomes of a job once runs of it are over.
+//! Applies the ends of runs to their jobs.
 
 use crate::leased::dispatch;
 use crate::leased::dispatch::jobs;
@@ -6,48 +6,54 @@
 use crate::leased::messages;
 
 impl dispatch::Dispatcher {
-    pub(super) fn take_over(
+    pub(super) fn apply_ends(
         &mut self,
         now_ms: u64,
         key: runners::RunnerKey,
-        over: Vec<runners::Over>,
+        ended: Vec<runners::EndedRun>,
     ) -> Vec<dispatch::Action> {
         let mut actions = Vec::new();
-        for over in over {
-            actions.extend(self.judge_end(now_ms, key, &over));
-            actions.extend(self.take_end(now_ms, &over));
+        for end in ended {
+            actions.extend(self.observe_end(now_ms, key, &end));
+            actions.extend(self.apply_end(now_ms, &end));
         }
-        actions.extend(self.fill(now_ms));
+        actions.extend(self.schedule(now_ms));
         actions
     }
 
-    pub(super) fn take_end(&mut self, now_ms: u64, over: &runners::Over) -> Vec<dispatch::Action> {
-        let Some(open) = self.jobs.get_mut(over.placed.job) else {
+    pub(super) fn apply_end(
+        &mut self,
+        now_ms: u64,
+        ended: &runners::EndedRun,
+    ) -> Vec<dispatch::Action> {
+        let Some(open) = self.jobs.get_mut(ended.placed.job) else {
             return Vec::new();
         };
-        let at = over.placed.task;
-        open.has_begun |= over.how != messages::RunOutcome::NotStarted;
-        if open.run_id(at) != over.id || !matches!(open.tasks[at].state, jobs::State::At(_)) {
+        let index = ended.placed.task;
+        open.may_have_run |= ended.how != messages::RunOutcome::NotStarted;
+        if open.run_id(index) != ended.id
+            || !matches!(open.tasks[index].state, jobs::State::Assigned(_))
+        {
             return Vec::new();
         }
-        let key = over.placed.job;
-        if over.how == messages::RunOutcome::Done {
-            open.tasks[at].state = jobs::State::Done;
-            open.left[usize::from(open.tasks[at].step)] -= 1;
+        let key = ended.placed.job;
+        if ended.how == messages::RunOutcome::Done {
+            open.tasks[index].state = jobs::State::Done;
+            open.unfinished[usize::from(open.tasks[index].step)] -= 1;
             if open.is_complete() {
                 return self.complete(now_ms, key);
             }
-            self.wait(key);
+            self.enqueue(key);
             return Vec::new();
         }
-        open.tasks[at].state = jobs::State::Waiting;
-        match over.how {
+        open.tasks[index].state = jobs::State::Waiting;
+        match ended.how {
             messages::RunOutcome::Failed => {
-                open.tasks[at].failed += 1;
-                log::info!(event = "task.failed", job = open.job.id.as_str(), run:% = over.id, failed = open.tasks[at].failed, most = open.max_attempts, ran_ms = over.ran_ms; "failed");
-                if open.tasks[at].failed >= open.max_attempts {
+                open.tasks[index].failed += 1;
+                log::info!(event = "task.failed", job = open.job.id.as_str(), run:% = ended.id, failed = open.tasks[index].failed, most = open.max_attempts, ran_ms = ended.ran_ms; "run failed");
+                if open.tasks[index].failed >= open.max_attempts {
                     self.counts.failed += 1;
-                    return self.end(
+                    return self.end_job(
                         now_ms,
                         key,
                         Some(dispatch::Outcome::Failed),
@@ -57,11 +63,11 @@
             }
             messages::RunOutcome::NotStarted => self.counts.not_started += 1,
             _ => {
-                log::info!(event = "task.lost", job = open.job.id.as_str(), run:% = over.id, age_ms = now_ms - over.placed.ordered_ms; "run is over without a result");
+                log::info!(event = "task.lost", job = open.job.id.as_str(), run:% = ended.id, age_ms = now_ms - ended.placed.ordered_ms; "run ended without a result; starting the task again");
                 self.counts.lost += 1;
             }
         }
-        self.wait(key);
+        self.enqueue(key);
         Vec::new()
     }
 
@@ -71,6 +77,6 @@
             self.counts.late += u64::from(now_ms > open.due_ms);
             self.counts.took.observe(now_ms - open.arrived_ms);
         }
-        self.end(now_ms, key, Some(dispatch::Outcome::Completed), "complete")
+        self.end_job(now_ms, key, Some(dispatch::Outcome::Completed), "complete")
     }
 }
--- a/src/leased/dispatch/runners.rs
+++ b/src/leased/dispatch/runners.rs
@@ -1,4 +1,4 @@
-//! A runner as one entry sees it.
+//! An entry's view of one runner.
 
 use std::collections;
 use std::hash;
@@ -19,128 +19,138 @@
 
 pub use crate::membership::RunnerKey;
 
-/// How long an order may start something, in milliseconds: long enough for a lost packet
-/// to be sent again, short enough not to hold a task up when the order is lost.
+/// Time during which an order may start runs, in milliseconds.
+///
+/// It allows one retransmission of a lost packet, and is short enough that a lost order doesn't
+/// hold up its tasks.
 pub const ORDER_VALID_MS: u64 = 300;
 
-/// Silence after which a runner is sent nothing more, in milliseconds: one watch of
-/// 150 ms and its time limit.
+/// Silence after which a runner receives no more work, in milliseconds: one watch of 150 ms and
+/// its timeout.
 pub const SILENT_MS: u64 = 450;
 
-/// Silence after which a runner's runs are surely over, in milliseconds: the lease that
-/// the entry's last sign of life allows, 2 % more for a slow clock, a stop, and a way.
+/// Time after the last lease renewal until all runs at a runner have certainly ended, in
+/// milliseconds: the entry's lease, 2 % of it for a slow clock, and 100 ms for the stop and the
+/// latency.
 pub const RUN_EXPIRY_MS: u64 = capacity::OWNER_LEASE_MS + capacity::OWNER_LEASE_MS / 50 + 100;
 
-/// Silence after which a runner that the store doesn't list is forgotten, in milliseconds.
-const FORGET_MS: u64 = 60_000;
+/// Silence after which a runner that the store doesn't list is removed, in milliseconds.
+const REMOVE_AFTER_MS: u64 = 60_000;
 
-/// An order of runners that differs from entry to entry, so that entries with the same view
-/// don't all pick the same runner.
+/// Returns the hash of a runner that determines its position in the entry's own order.
+///
+/// The order differs between entries, so that entries with the same view choose different
+/// runners.
 fn preference(entry: ids::Incarnation, address: &str) -> u64 {
     let mut hasher = hash::DefaultHasher::new();
     (entry.0, address).hash(&mut hasher);
     hasher.finish()
 }
 
-/// One run that was ordered and is not known to be over.
+/// Run that was ordered and is not known to have ended.
 #[derive(Clone, Debug)]
-pub struct Placed {
-    /// Its job.
+pub struct PlacedRun {
+    /// Key of its job.
     pub job: jobs::JobKey,
-    /// Its task, in the job's list.
+    /// Index of its task in the job.
     pub task: usize,
-    /// What it takes.
+    /// Resources that it takes.
     pub need: wire::Resources,
-    /// The life of the runner that was told.
-    life: ids::Incarnation,
-    /// Whether it waits at the runner for room, as far as is known.
+    /// Incarnation of the runner that received the order.
+    incarnation: ids::Incarnation,
+    /// Whether it waits at the runner for capacity, according to the last report.
     pub waits: bool,
-    /// After this the order starts nothing any more.
+    /// Time after which the order starts nothing.
     valid_until_ms: u64,
-    /// The runner's message that first showed the run.
-    accepted: Option<u64>,
-    /// When it was ordered; once it has waited, when it was first heard to run.
+    /// Sequence number of the runner's first message that confirms the run.
+    first_sequence: Option<u64>,
+    /// Time of the order; for a run that had to wait, time of the first report that it runs.
     pub ordered_ms: u64,
-    /// How long it should run, in milliseconds as declared.
+    /// Declared run time, in milliseconds.
     pub expected_ms: u64,
-    /// What runs like it, for comparing runners.
+    /// Kind of the task, by which runners are compared.
     pub kind: health::Kind,
-    /// Counts the runs of this entry.
+    /// Sequence number among this entry's runs.
     pub number: u64,
 }
 
-/// A run to be put into an order.
+/// Run to be added to an order.
 #[derive(Clone, Debug)]
-pub struct Planned {
-    /// What the runner is told.
+pub struct PlannedRun {
+    /// Start request for the runner.
     pub start: messages::Start,
-    /// Whether it will have to wait there for room.
+    /// Whether the run has to wait there for capacity.
     pub waits: bool,
-    /// Its job.
+    /// Key of its job.
     pub job: jobs::JobKey,
-    /// Its task, in the job's list.
+    /// Index of its task in the job.
     pub task: usize,
-    /// How long it should run, in milliseconds as declared.
+    /// Declared run time, in milliseconds.
     pub expected_ms: u64,
-    /// What runs like it, for comparing runners.
+    /// Kind of the task, by which runners are compared.
     pub kind: health::Kind,
-    /// Counts the runs of this entry.
+    /// Sequence number among this entry's runs.
     pub number: u64,
 }
 
-/// A run that is over, or never was.
+/// Run that has ended or never started.
 #[derive(Clone, Debug)]
-pub struct Over {
-    /// The run.
+pub struct EndedRun {
+    /// Id of the run.
     pub id: messages::RunId,
-    /// Where it belongs.
-    pub placed: Placed,
-    /// How it ended.
+    /// Placement of the run.
+    pub placed: PlacedRun,
+    /// Outcome of the run.
     pub how: messages::RunOutcome,
-    /// How long it ran, in milliseconds.
+    /// Run time, in milliseconds.
     pub ran_ms: u64,
 }
 
-/// What the store says of a runner.
+/// Status of a runner in the store's list.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Listing {
-    /// Nothing since it was added: another entry told of it.
+    /// Another entry reported the runner, and no list has been read since.
     #[default]
-    Untold,
-    /// It is listed.
+    Unknown,
+    /// The list contains the runner.
     Listed,
-    /// Others are listed, and it isn't.
+    /// The list doesn't contain the runner.
     Unlisted,
 }
 
-/// A runner.
+/// Runner known to an entry.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Where it is, as it says itself, or else as it is listed.
+    /// Address, zone and service, as reported by the runner, else as listed.
     pub member: ports::Member,
-    /// What the store says of it.
+    /// Status in the store's list.
     pub listing: Listing,
-    /// Whether and why it is watched.
+    /// State of the entry's watch.
     pub watch: watching::Watch,
-    /// Its place in the order in which the entry looks for room.
+    /// Position in the entry's own order of runners; the lowest comes first.
     pub preference: u64,
-    /// What it last said of its room.
+    /// Last reported load.
     pub load: messages::Load,
-    /// Position up to which it was told what operators ask for.
+    /// Position in the store up to which the runner knows the directives.
     pub directives_position: u64,
-    life: Option<ids::Incarnation>,
+    incarnation: Option<ids::Incarnation>,
+    /// Last reading of the runner's clock, and the time at which it was received.
     clock: Option<(u64, u64)>,
+    /// Sequence number of the newest message.
     sequence: u64,
+    /// Number of orders sent.
     orders: u64,
+    /// Number of the last end received.
     acked: u64,
-    heard_ms: Option<u64>,
-    alive_sent_ms: u64,
+    last_seen_ms: Option<u64>,
+    /// Time of the last lease renewal.
+    renewed_ms: u64,
     added_ms: u64,
-    placed: collections::HashMap<messages::RunId, Placed>,
+    placed: collections::HashMap<messages::RunId, PlacedRun>,
 }
 
 impl Runner {
-    /// A runner that was found and not heard yet.
+    /// Creates a runner that has not reported yet.
     pub fn new(entry: ids::Incarnation, member: ports::Member, now_ms: u64) -> Self {
         Self {
             preference: preference(entry, &member.address),
@@ -149,135 +159,139 @@
             watch: watching::Watch::default(),
             load: messages::Load::default(),
             directives_position: 0,
-            life: None,
+            incarnation: None,
             clock: None,
             sequence: 0,
             orders: 0,
             acked: 0,
-            heard_ms: None,
-            alive_sent_ms: now_ms,
+            last_seen_ms: None,
+            renewed_ms: now_ms,
             added_ms: now_ms,
             placed: collections::HashMap::new(),
         }
     }
 
-    /// Whether work may be sent to it.
+    /// Returns whether the runner may receive work.
     pub fn is_usable(&self, now_ms: u64) -> bool {
         self.load.readiness == messages::Readiness::Ready && self.silence_ms(now_ms) <= SILENT_MS
     }
 
-    /// Time since it was last heard, in milliseconds.
+    /// Returns the time since the runner was last seen, in milliseconds.
     pub fn silence_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.heard_ms.unwrap_or(self.added_ms))
+        now_ms.saturating_sub(self.last_seen_ms.unwrap_or(self.added_ms))
     }
 
-    /// Where it answers.
+    /// Returns the address at which the runner serves requests.
     pub const fn address(&self) -> &SmolStr {
         &self.member.address
     }
 
-    /// Whether anything was ever heard of it.
-    pub const fn was_heard(&self) -> bool {
-        self.heard_ms.is_some()
+    /// Returns whether the runner was ever seen.
+    pub const fn was_seen(&self) -> bool {
+        self.last_seen_ms.is_some()
     }
 
-    /// Whether anything was heard of it since.
-    pub fn was_heard_since(&self, since_ms: u64) -> bool {
-        self.heard_ms.is_some_and(|heard_ms| heard_ms >= since_ms)
+    /// Returns whether the runner was seen at or after `since_ms`.
+    pub fn was_seen_since(&self, since_ms: u64) -> bool {
+        self.last_seen_ms
+            .is_some_and(|last_seen_ms| last_seen_ms >= since_ms)
     }
 
-    /// Whether it isn't worth knowing any more: in use nowhere, and silent for long.
+    /// Returns whether the runner can be removed: it holds no runs and has been silent for long.
     ///
-    /// Silence says something of a runner that nobody else tells of only while it is asked.
-    pub fn is_forgotten(&self, now_ms: u64) -> bool {
-        let is_silent = self.silence_ms(now_ms) >= FORGET_MS;
-        let since_ms = self.watch.since_ms.unwrap_or(now_ms);
-        let may_go = match self.listing {
+    /// A listed runner is never removed. Of a runner that only another entry reported, silence is
+    /// evidence only while a watch is open.
+    pub fn is_removable(&self, now_ms: u64) -> bool {
+        let is_silent = self.silence_ms(now_ms) >= REMOVE_AFTER_MS;
+        let since_ms = self.watch.opened_ms.unwrap_or(now_ms);
+        let may_remove = match self.listing {
             Listing::Listed => false,
             Listing::Unlisted => true,
-            Listing::Untold => now_ms >= since_ms + FORGET_MS,
+            Listing::Unknown => now_ms >= since_ms + REMOVE_AFTER_MS,
         };
-        may_go && is_silent && self.placed.is_empty()
+        may_remove && is_silent && self.placed.is_empty()
     }
 
-    /// How many runs of this entry are there, or may be.
+    /// Returns the number of this entry's runs that the runner holds or may hold.
     pub fn placed(&self) -> usize {
         self.placed.len()
     }
 
-    /// Runs that are there, or may be.
-    pub fn placed_runs(&self) -> impl Iterator<Item = (&messages::RunId, &Placed)> {
+    /// Returns this entry's runs that the runner holds or may hold.
+    pub fn placed_runs(&self) -> impl Iterator<Item = (&messages::RunId, &PlacedRun)> {
         self.placed.iter()
     }
 
-    /// What is free, with this entry's orders that the runner's last word didn't contain.
+    /// Returns the free capacity, less this entry's orders that the last report didn't include.
     pub fn free(&self) -> wire::Resources {
-        let on_the_way = self
+        let in_flight = self
             .placed
             .values()
-            .filter(|placed| placed.accepted.is_none() && !placed.waits);
-        let on_the_way = on_the_way.fold(wire::Resources::default(), |sum, placed| {
+            .filter(|placed| placed.first_sequence.is_none() && !placed.waits);
+        let in_flight = in_flight.fold(wire::Resources::default(), |sum, placed| {
             sum.plus(&placed.need)
         });
-        self.load.size.minus(&self.load.used).minus(&on_the_way)
+        self.load.size.minus(&self.load.used).minus(&in_flight)
     }
 
-    /// Thousandths of a core that may still wait there in each class, with this entry's orders
-    /// that the runner's last word didn't contain.
-    pub fn line_milli(&self) -> [u32; messages::URGENCY_CLASSES] {
-        let on_the_way = self
+    /// Returns the free space in the runner's wait queue for each class, in thousandths of a core.
+    ///
+    /// This entry's orders that the last report didn't include count as taken.
+    pub fn queue_free_milli(&self) -> [u32; messages::URGENCY_CLASSES] {
+        let in_flight = self
             .placed
             .values()
-            .filter(|placed| placed.accepted.is_none() && placed.waits);
-        let on_the_way: u32 = on_the_way.map(|placed| placed.need.cpu_milli).sum();
-        let most = self.load.size.cpu_milli / wait_queue::WAIT_QUEUE_CPU_DIVISOR;
+            .filter(|placed| placed.first_sequence.is_none() && placed.waits);
+        let in_flight: u32 = in_flight.map(|placed| placed.need.cpu_milli).sum();
+        let limit_milli = self.load.size.cpu_milli / wait_queue::WAIT_QUEUE_CPU_DIVISOR;
         [0, 1, 2, 3, 4].map(|class| {
-            most.saturating_sub(self.load.line.milli_up_to(class))
-                .saturating_sub(on_the_way)
+            limit_milli
+                .saturating_sub(self.load.line.milli_up_to(class))
+                .saturating_sub(in_flight)
         })
     }
 
-    /// The runner's clock now: never ahead of it.
+    /// Returns an estimate of the runner's clock that is never ahead of it.
     fn clock_ms(&self, now_ms: u64) -> Option<u64> {
-        let (reading_ms, heard_ms) = self.clock?;
-        Some(reading_ms + now_ms.saturating_sub(heard_ms))
+        let (reading_ms, last_seen_ms) = self.clock?;
+        Some(reading_ms + now_ms.saturating_sub(last_seen_ms))
     }
 
-    /// A moment on the runner's clock at which this entry lives; none while the runner is
-    /// silent.
+    /// Returns the time on the runner's clock with which this entry renews its lease, or `None`
+    /// while the runner is silent.
     ///
-    /// Where only the way back is cut, the runner would hear signs of life for ever and
-    /// go on with runs that are given up for lost here and started elsewhere.
-    fn sign_of_life(&mut self, now_ms: u64) -> Option<u64> {
+    /// If only the link from the runner is broken, renewals would still reach the runner. It would
+    /// keep runs alive that this entry considers lost and starts elsewhere.
+    fn lease_renewal_ms(&mut self, now_ms: u64) -> Option<u64> {
         if self.silence_ms(now_ms) > SILENT_MS {
             return None;
         }
         let clock_ms = self.clock_ms(now_ms)?;
-        self.alive_sent_ms = now_ms;
+        self.renewed_ms = now_ms;
         Some(clock_ms)
     }
 
-    /// Puts runs into an order; none if the runner was never heard.
-    pub fn order(
+    /// Adds runs to a new order; returns `None` if the runner was never seen.
+    pub fn build_order(
         &mut self,
         now_ms: u64,
         entry: ids::Incarnation,
-        starts: Vec<Planned>,
+        starts: Vec<PlannedRun>,
         stops: Vec<messages::RunId>,
     ) -> Option<messages::Order> {
-        let life = self.life?;
+        let incarnation = self.incarnation?;
         let clock_ms = self.clock_ms(now_ms)?;
         self.orders += 1;
-        let alive_at_ms = self.sign_of_life(now_ms).unwrap_or(0);
+        let alive_at_ms = self.lease_renewal_ms(now_ms).unwrap_or(0);
         for planned in &starts {
-            let placed = Placed {
+            let placed = PlacedRun {
                 job: planned.job,
                 task: planned.task,
                 need: planned.start.need,
-                life,
+                incarnation,
                 waits: planned.waits,
                 valid_until_ms: now_ms + ORDER_VALID_MS,
-                accepted: None,
+                first_sequence: None,
                 ordered_ms: now_ms,
                 expected_ms: planned.expected_ms,
                 kind: planned.kind,
@@ -288,7 +302,7 @@
         Some(messages::Order {
             version: wire::VERSION,
             entry,
-            runner: life,
+            runner: incarnation,
             number: self.orders,
             alive_at_ms,
             valid_until_ms: clock_ms + ORDER_VALID_MS,
@@ -297,19 +311,19 @@
         })
     }
 
-    /// The next question to the runner; `wanted` tells which runs should go on.
-    pub fn watch(
+    /// Builds the next watch; `wanted` selects the runs that should continue.
+    pub fn build_watch(
         &mut self,
         now_ms: u64,
         entry: ids::Incarnation,
-        wanted: impl Fn(&Placed) -> bool,
+        wanted: impl Fn(&PlacedRun) -> bool,
     ) -> messages::Watch {
-        let alive_at_ms = self.sign_of_life(now_ms);
+        let alive_at_ms = self.lease_renewal_ms(now_ms);
         let wanted = self.placed.iter().filter(|(_, placed)| wanted(placed));
         messages::Watch {
             version: wire::VERSION,
             entry,
-            runner: self.life,
+            runner: self.incarnation,
             alive_at_ms,
             acked: self.acked,
             ordered: self.orders,
@@ -323,15 +337,22 @@
         }
     }
 
-    fn hear(&mut self, now_ms: u64, life: ids::Incarnation, clock_ms: u64, sequence: u64) -> bool {
-        let is_other = self.life != Some(life);
-        if is_other {
-            self.life = Some(life);
+    /// Records a message from the runner; returns whether it is newer than all earlier ones.
+    fn receive(
+        &mut self,
+        now_ms: u64,
+        incarnation: ids::Incarnation,
+        clock_ms: u64,
+        sequence: u64,
+    ) -> bool {
+        let is_new_incarnation = self.incarnation != Some(incarnation);
+        if is_new_incarnation {
+            self.incarnation = Some(incarnation);
             self.clock = None;
             self.sequence = 0;
             self.acked = 0;
         }
-        self.heard_ms = Some(now_ms);
+        self.last_seen_ms = Some(now_ms);
         if sequence <= self.sequence {
             return false;
         }
@@ -340,59 +361,65 @@
         true
     }
 
-    /// An order was answered; what was not taken in is over.
+    /// Processes the answer to an order and returns the runs that the runner refused.
     pub fn order_answered(
         &mut self,
         now_ms: u64,
         order: &messages::Order,
         reply: messages::OrderReply,
-    ) -> Vec<Over> {
-        if self.hear(now_ms, reply.runner, reply.clock_ms, reply.sequence) {
+    ) -> Vec<EndedRun> {
+        if self.receive(now_ms, reply.runner, reply.clock_ms, reply.sequence) {
             self.load = reply.load;
         }
         if reply.runner == order.runner {
             for start in &order.starts {
                 if let Some(placed) = self.placed.get_mut(&start.id) {
-                    placed.accepted.get_or_insert(reply.sequence);
+                    placed.first_sequence.get_or_insert(reply.sequence);
                 }
             }
         }
         let refused = reply.refused.into_iter();
         refused
-            .filter_map(|(id, _)| self.over(&id, messages::RunOutcome::NotStarted, 0))
+            .filter_map(|(id, _)| self.end_run(&id, messages::RunOutcome::NotStarted, 0))
             .collect()
     }
 
-    /// An order was surely not sent.
-    pub fn unsent(&mut self, order: &messages::Order) -> Vec<Over> {
+    /// Returns the runs of an order that was certainly not sent.
+    pub fn order_unsent(&mut self, order: &messages::Order) -> Vec<EndedRun> {
         let starts = order.starts.iter();
         starts
-            .filter_map(|start| self.over(&start.id, messages::RunOutcome::NotStarted, 0))
+            .filter_map(|start| self.end_run(&start.id, messages::RunOutcome::NotStarted, 0))
             .collect()
     }
 
-    /// A watch was answered, with the ends that are new.
-    pub fn report_received(&mut self, now_ms: u64, report: messages::Report) -> Vec<Over> {
-        let is_news = self.hear(now_ms, report.runner, report.clock_ms, report.sequence);
+    /// Processes the answer to a watch and returns the runs that have ended.
+    pub fn report_received(&mut self, now_ms: u64, report: messages::Report) -> Vec<EndedRun> {
+        let is_newer = self.receive(now_ms, report.runner, report.clock_ms, report.sequence);
         self.directives_position = report.directives_position;
-        let mut over = Vec::new();
+        let mut ended = Vec::new();
         for end in report.ends {
             if end.number > self.acked {
                 self.acked = end.number;
-                over.extend(self.over(&end.id, end.how, end.ran_ms));
+                ended.extend(self.end_run(&end.id, end.how, end.ran_ms));
             }
         }
-        if is_news {
+        if is_newer {
             self.load = report.load;
-            self.note_waiting(now_ms, &report.runs, &report.waiting);
-            over.extend(self.reconcile(now_ms, report.sequence, &report.runs));
+            self.update_waiting(now_ms, &report.runs, &report.waiting);
+            ended.extend(self.reconcile(now_ms, report.sequence, &report.runs));
         }
-        over
+        ended
     }
 
-    /// Keeps apart what waits at the runner and what runs, of all that it holds: time in the
-    /// line says nothing of how fast the backend server is.
-    fn note_waiting(&mut self, now_ms: u64, held: &[messages::RunId], waiting: &[messages::RunId]) {
+    /// Updates which of the held runs wait and which run.
+    ///
+    /// Time in the wait queue says nothing about the speed of the backend server.
+    fn update_waiting(
+        &mut self,
+        now_ms: u64,
+        held: &[messages::RunId],
+        waiting: &[messages::RunId],
+    ) {
         for id in held {
             let Some(placed) = self.placed.get_mut(id) else {
                 continue;
@@ -405,55 +432,55 @@
         }
     }
 
-    /// Runs that the runner doesn't hold, and whose ends it hasn't told, are over.
+    /// Ends the runs that the runner neither holds nor reported as ended.
     ///
-    /// An answer to an order may be lost, or the runner's life may have ended with all it
-    /// knew. A later life takes work only when nothing of the former one runs any more.
-    fn reconcile(&mut self, now_ms: u64, sequence: u64, held: &[messages::RunId]) -> Vec<Over> {
+    /// The answer to an order may be lost, or the runner may have restarted and lost its state.
+    /// A new incarnation accepts work only when no run of the previous one is left.
+    fn reconcile(&mut self, now_ms: u64, sequence: u64, held: &[messages::RunId]) -> Vec<EndedRun> {
         let held: collections::HashSet<_> = held.iter().collect();
         let is_ready = self.load.readiness == messages::Readiness::Ready;
-        let life = self.life;
+        let incarnation = self.incarnation;
         let mut lost = Vec::new();
         for (id, placed) in &mut self.placed {
-            if Some(placed.life) != life {
+            if Some(placed.incarnation) != incarnation {
                 if is_ready {
                     lost.push(id.clone());
                 }
             } else if held.contains(id) {
-                placed.accepted.get_or_insert(sequence);
-            } else if let Some(accepted) = placed.accepted {
-                if accepted < sequence {
+                placed.first_sequence.get_or_insert(sequence);
+            } else if let Some(first_sequence) = placed.first_sequence {
+                if first_sequence < sequence {
                     lost.push(id.clone());
                 }
             } else if now_ms > placed.valid_until_ms + ORDER_VALID_MS {
                 lost.push(id.clone());
             }
         }
-        let over = lost
+        let ended = lost
             .iter()
-            .filter_map(|id| self.over(id, messages::RunOutcome::Stopped, 0));
-        over.collect()
+            .filter_map(|id| self.end_run(id, messages::RunOutcome::Stopped, 0));
+        ended.collect()
     }
 
-    /// What is over because nothing was heard for so long.
-    pub fn lapse(&mut self, now_ms: u64) -> Vec<Over> {
-        if now_ms <= self.alive_sent_ms + RUN_EXPIRY_MS {
+    /// Ends all runs once the last lease renewal is older than [`RUN_EXPIRY_MS`].
+    pub fn expire_runs(&mut self, now_ms: u64) -> Vec<EndedRun> {
+        if now_ms <= self.renewed_ms + RUN_EXPIRY_MS {
             return Vec::new();
         }
         let ids: Vec<_> = self.placed.keys().cloned().collect();
         ids.iter()
-            .filter_map(|id| self.over(id, messages::RunOutcome::Stopped, 0))
+            .filter_map(|id| self.end_run(id, messages::RunOutcome::Stopped, 0))
             .collect()
     }
 
-    fn over(
+    fn end_run(
         &mut self,
         id: &messages::RunId,
         how: messages::RunOutcome,
         ran_ms: u64,
-    ) -> Option<Over> {
+    ) -> Option<EndedRun> {
         let placed = self.placed.remove(id)?;
-        Some(Over {
+        Some(EndedRun {
             id: id.clone(),
             placed,
             how,
--- a/src/leased/dispatch/scheduling.rs
+++ b/src/leased/dispatch/scheduling.rs
@@ -1,4 +1,4 @@
-//! Bringing waiting jobs to runners with room.
+//! Sends the tasks of waiting jobs to runners with free capacity.
 
 use std::collections;
 use std::sync;
@@ -14,16 +14,16 @@
 use crate::leased::dispatch::watching;
 use crate::leased::messages;
 
-/// The room of one service while waiting jobs are placed.
-struct Room {
+/// Free capacity of one service while its waiting jobs are placed.
+struct ServiceCapacity {
     candidates: Vec<placement::Candidate>,
-    /// Thousandths of a core of the largest task that was asked for.
+    /// Processor demand of the largest requested task, in thousandths of a core.
     largest_milli: u32,
     has_waiting: bool,
 }
 
-impl Room {
-    const fn of(candidates: Vec<placement::Candidate>) -> Self {
+impl ServiceCapacity {
+    const fn with_candidates(candidates: Vec<placement::Candidate>) -> Self {
         Self {
             candidates,
             largest_milli: 0,
@@ -31,59 +31,62 @@
         }
     }
 
-    fn left(&self) -> watching::Left {
-        let has_room = |candidate: &&placement::Candidate| {
-            candidate.places > 0 && candidate.free.cpu_milli >= self.largest_milli
+    fn remaining(&self) -> watching::RemainingCapacity {
+        let has_capacity = |candidate: &&placement::Candidate| {
+            candidate.task_allowance > 0 && candidate.free.cpu_milli >= self.largest_milli
         };
-        watching::Left {
-            with_room: self.candidates.iter().filter(has_room).count(),
+        watching::RemainingCapacity {
+            runners_with_capacity: self.candidates.iter().filter(has_capacity).count(),
             has_waiting: self.has_waiting,
         }
     }
 }
 
-/// Runs to be ordered, by runner.
-type Starts = collections::HashMap<runners::RunnerKey, Vec<runners::Planned>>;
+/// Runs to order at each runner.
+type Starts = collections::HashMap<runners::RunnerKey, Vec<runners::PlannedRun>>;
 
 impl dispatch::Dispatcher {
-    /// Places what waits, the most urgent first.
-    pub(super) fn fill(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
+    /// Places the tasks of waiting jobs, the most urgent job first.
+    pub(super) fn schedule(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
         if self.waiting.is_empty() {
             return Vec::new();
         }
-        let mut line: Vec<_> = std::mem::take(&mut self.waiting);
-        line.retain(|key| {
+        let mut ranked: Vec<_> = std::mem::take(&mut self.waiting);
+        ranked.retain(|key| {
             self.jobs
                 .get(*key)
-                .is_some_and(|open| open.ready().next().is_some())
+                .is_some_and(|open| open.ready_tasks().next().is_some())
+        });
+        ranked.sort_by_cached_key(|key| {
+            urgency::rank(&dispatch::urgency_view(&self.jobs[*key]), now_ms)
         });
-        line.sort_by_cached_key(|key| urgency::rank(&dispatch::view(&self.jobs[*key]), now_ms));
         let mut starts = Starts::new();
-        let mut rooms: collections::HashMap<SmolStr, Room> = collections::HashMap::new();
-        for key in line {
+        let mut capacities: collections::HashMap<SmolStr, ServiceCapacity> =
+            collections::HashMap::new();
+        for key in ranked {
             let service = self.jobs[key].service.clone();
-            let room = rooms
-                .entry(service.clone())
-                .or_insert_with(|| Room::of(self.candidates(now_ms, &service)));
-            let is_all = self.place(now_ms, key, room, &mut starts);
-            if !is_all {
-                room.has_waiting = true;
+            let capacity = capacities.entry(service.clone()).or_insert_with(|| {
+                ServiceCapacity::with_candidates(self.candidates(now_ms, &service))
+            });
+            let all_placed = self.place(now_ms, key, capacity, &mut starts);
+            if !all_placed {
+                capacity.has_waiting = true;
                 self.waiting.push(key);
             }
         }
         let mut actions = Vec::new();
         for (runner, starts) in starts {
-            actions.extend(self.order(now_ms, runner, starts, Vec::new()));
+            actions.extend(self.send_order(now_ms, runner, starts, Vec::new()));
         }
-        for (service, room) in rooms {
-            actions.extend(self.seek_room(now_ms, &service, room.left()));
+        for (service, capacity) in capacities {
+            actions.extend(self.probe_for_capacity(now_ms, &service, capacity.remaining()));
         }
         actions
     }
 
     fn candidates(&self, now_ms: u64, service: &str) -> Vec<placement::Candidate> {
         let directives = self.directives.latest();
-        let may_take = |runner: &runners::Runner| {
+        let accepts_work = |runner: &runners::Runner| {
             let load = &runner.load;
             runner.is_usable(now_ms)
                 && load.service == service
@@ -91,20 +94,20 @@
         };
         let usable = self
             .watched_runners()
-            .filter(|(_, runner)| may_take(runner));
+            .filter(|(_, runner)| accepts_work(runner));
         let candidates = usable.map(|(key, runner)| {
             let allowance = self.health.allowance(now_ms, key);
-            let most = allowance.max_tasks.unwrap_or(u32::MAX);
+            let limit = allowance.max_tasks.unwrap_or(u32::MAX);
             let held = u32::try_from(runner.placed()).unwrap_or(u32::MAX);
             placement::Candidate {
                 key,
                 free: runner.free(),
                 size_milli: runner.load.size.cpu_milli,
-                line_milli: runner.line_milli(),
-                line_taken_milli: 0,
+                queue_free_milli: runner.queue_free_milli(),
+                queue_taken_milli: 0,
                 is_suspect: allowance.is_suspect || allowance.trust != health::Trust::Full,
-                places: most.saturating_sub(held),
-                is_near: runner.load.zone == self.zone,
+                task_allowance: limit.saturating_sub(held),
+                is_same_zone: runner.load.zone == self.zone,
                 preference: runner.preference,
                 labels: sync::Arc::clone(&runner.load.labels),
             }
@@ -112,37 +115,41 @@
         candidates.collect()
     }
 
-    /// Places the tasks of a job that can run now; whether none is left waiting.
+    /// Places the tasks of a job that are ready; returns whether all of them were placed.
     fn place(
         &mut self,
         now_ms: u64,
         key: jobs::JobKey,
-        room: &mut Room,
+        capacity: &mut ServiceCapacity,
         starts: &mut Starts,
     ) -> bool {
         let open = &mut self.jobs[key];
-        let wait = urgency::wait(&dispatch::view(open), now_ms);
-        let asks: Vec<_> = open.ready().map(|at| ask(open, at, wait)).collect();
-        let largest_milli = asks.iter().map(|ask| ask.need.cpu_milli).max();
-        room.largest_milli = room.largest_milli.max(largest_milli.unwrap_or(0));
-        let placed = if urgency::begins_whole(wait.class) {
-            placement::place_all(&asks, &mut room.candidates)
+        let wait = urgency::wait(&dispatch::urgency_view(open), now_ms);
+        let requests: Vec<_> = open
+            .ready_tasks()
+            .map(|index| request(open, index, wait))
+            .collect();
+        let largest_milli = requests.iter().map(|request| request.need.cpu_milli).max();
+        capacity.largest_milli = capacity.largest_milli.max(largest_milli.unwrap_or(0));
+        let placed = if urgency::is_all_or_nothing(wait.class) {
+            placement::place_all(&requests, &mut capacity.candidates)
         } else {
-            placement::place(&asks, &mut room.candidates)
+            placement::place(&requests, &mut capacity.candidates)
         };
-        let is_all = placed.len() == asks.len();
+        let all_placed = placed.len() == requests.len();
         for target in placed {
-            let (at, runner) = (target.task, target.runner);
-            let id = open.next_run(at);
-            open.tasks[at].state = jobs::State::At(runner);
-            let step = &open.job.steps[usize::from(open.tasks[at].step)];
+            let (index, runner) = (target.task, target.runner);
+            let id = open.next_run_id(index);
+            open.tasks[index].state = jobs::State::Assigned(runner);
+            let step = &open.job.steps[usize::from(open.tasks[index].step)];
             self.counts.ordered += 1;
-            let planned = runners::Planned {
+            let planned = runners::PlannedRun {
                 start: messages::Start {
                     id,
                     spec: sync::Arc::clone(&open.job.spec),
                     need: step.need,
-                    // Refused where others were first, it goes where there is room.
+                    // If other orders take the capacity first, the runner refuses this run and the
+                    // entry places it elsewhere.
                     wait: if target.waits {
                         wait
                     } else {
@@ -151,22 +158,22 @@
                 },
                 waits: target.waits,
                 job: key,
-                task: at,
+                task: index,
                 expected_ms: step.estimate_ms,
                 kind: open.kind,
                 number: self.counts.ordered,
             };
             starts.entry(runner).or_default().push(planned);
         }
-        is_all
+        all_placed
     }
 }
 
-fn ask(open: &jobs::Open, at: usize, wait: messages::Wait) -> placement::Ask<'_> {
-    let step = &open.job.steps[usize::from(open.tasks[at].step)];
-    placement::Ask {
-        task: at,
-        step: open.tasks[at].step,
+fn request(open: &jobs::OpenJob, index: usize, wait: messages::Wait) -> placement::Request<'_> {
+    let step = &open.job.steps[usize::from(open.tasks[index].step)];
+    placement::Request {
+        task: index,
+        step: open.tasks[index].step,
         need: step.need,
         label: step.label.as_ref(),
         rack: step.rack.as_ref(),
--- a/src/leased/dispatch/urgency.rs
+++ b/src/leased/dispatch/urgency.rs
@@ -1,69 +1,71 @@
-//! Which waiting job goes first, how long its tasks may wait, and which one is refused.
+//! Ranks waiting jobs, limits how long their tasks wait, and selects jobs to refuse.
 //!
-//! Load that this answers: more work than room for seconds. Without it every queue grows
-//! until all callers are late; with it those served are served in time, and the others
-//! hear at once that they are not.
+//! If more work arrives than there is capacity for, queues would grow until all callers are
+//! late. Here the jobs that are served meet their deadlines, and the others are refused at once.
 
 use crate::leased::messages;
 
-/// What is known of a waiting job.
+/// Properties of a waiting job that determine its urgency.
 #[derive(Clone, Copy, Debug)]
 pub struct View {
-    /// Whether something of it was ordered.
+    /// Whether anything of the job has run, runs, or is in flight to a runner.
     pub has_started: bool,
-    /// How many queues of its service go before its own, by their priorities.
+    /// Number of distinct priorities of the service's queues that come before this queue's.
     pub precedence: u8,
-    /// When it should be complete.
+    /// Time by which the job should complete.
     pub due_ms: u64,
-    /// Until when it may wait to begin, if it could be complete by then.
+    /// Latest completion time; a job that has not started and cannot complete by then is refused.
     pub hold_until_ms: u64,
-    /// When its caller is gone.
+    /// Time at which the caller stops waiting.
     pub deadline_ms: u64,
-    /// How long what is left takes, in milliseconds as declared.
-    pub left_ms: u64,
+    /// Declared run time of the remaining work, in milliseconds.
+    pub remaining_ms: u64,
 }
 
-/// Class of a job that has begun. It is finished first, also when it will be late: ranked
-/// behind those in time, many callers would be left without an answer after part of their
-/// work was done.
-const BEGUN: u8 = 0;
+/// Class of a job that has started.
+///
+/// It is finished first, even if it is late. Ranked behind jobs in time, it would leave many
+/// callers without an answer after part of their work was done.
+const STARTED: u8 = 0;
 
-/// Class of a job of the most urgent queue that can be in time; one class for each further
-/// precedence follows. Without them a long job with its time almost over goes before a short
-/// one that has just come, and under more work than room the most urgent callers fare worst.
+/// Class of a job of the most urgent queue that can still be in time.
+///
+/// Each further precedence has the next class. Without these classes, a long job that is close
+/// to its latest start would go before a short one that has just arrived, and under overload the
+/// most urgent callers would fare worst.
 const MOST_URGENT: u8 = 1;
 
-/// Class of a job that can't be in time any more.
+/// Class of a job that cannot be in time any more.
 const LATE: u8 = 4;
 
-/// Whether a job of this class begins only where all its tasks find room; see
+/// Returns whether a job of this class starts only if all its tasks fit; see
 /// [`crate::leased::dispatch::placement`].
-pub const fn begins_whole(class: u8) -> bool {
+pub const fn is_all_or_nothing(class: u8) -> bool {
     class > MOST_URGENT
 }
 
-/// Whether a job of this class may only take room that is likely to stay free without it.
+/// Returns whether a job of this class may only use capacity that is likely to stay free.
 ///
-/// A late answer is worth little to its caller. Given the last room, it makes the next job
-/// late that could have been in time.
-pub const fn takes_spare_room_only(class: u8) -> bool {
+/// A late answer is worth little to its caller. If it took the last free capacity, it would also
+/// delay the next job, which could have been in time.
+pub const fn uses_spare_capacity_only(class: u8) -> bool {
     class >= LATE
 }
 
-/// A class, and when the job has to start; the least goes first.
+/// Class and latest start of a job; the lowest rank is served first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Rank(u8, u64);
 
-/// Where a waiting job stands in line.
+/// Returns the rank of a waiting job.
 pub const fn rank(view: &View, now_ms: u64) -> Rank {
-    let margin_ms = WAY_MARGIN_MS + view.left_ms / ESTIMATE_SHARE;
-    let latest_ms = view.due_ms.saturating_sub(view.left_ms + margin_ms);
-    let class = match (view.has_started, now_ms <= latest_ms) {
-        (true, _) => BEGUN,
+    let margin_ms = LATENCY_MARGIN_MS + view.remaining_ms / ESTIMATE_MARGIN_DIVISOR;
+    let latest_start_ms = view.due_ms.saturating_sub(view.remaining_ms + margin_ms);
+    let class = match (view.has_started, now_ms <= latest_start_ms) {
+        (true, _) => STARTED,
         (false, true) => in_time_class(view.precedence),
         (false, false) => LATE,
     };
-    Rank(class, latest_ms)
+    Rank(class, latest_start_ms)
 }
 
 const fn in_time_class(precedence: u8) -> u8 {
@@ -71,38 +73,40 @@
     if class < LATE { class } else { LATE - 1 }
 }
 
-/// Time that goes to the order's way, the start, and the way of the end, in milliseconds.
-const WAY_MARGIN_MS: u64 = 20;
+/// Time for the latency of the order, the start, and the latency of the report, in milliseconds.
+const LATENCY_MARGIN_MS: u64 = 20;
 
-/// Part of the declared time that is kept in hand, as a divisor: a job that starts in its
-/// last moment is late as soon as a task takes longer than declared.
-const ESTIMATE_SHARE: u64 = 8;
+/// Divisor of the declared run time that gives the margin for tasks that run longer.
+///
+/// Without a margin, a job that starts at the last moment is late as soon as a task takes longer
+/// than declared.
+const ESTIMATE_MARGIN_DIVISOR: u64 = 8;
 
-/// How a job's tasks may wait at a runner: until they can't be in time any more, or, if some
-/// have run, until nobody waits for them.
+/// Returns how long a job's tasks may wait at a runner.
 ///
-/// Only what has begun and the most urgent queue's jobs wait there. Others stay at their entry,
-/// which can still send them wherever room comes free first: a job whose tasks stand in several
-/// lines is late as soon as one of them moves slowly.
+/// The tasks of a started job may wait until they cannot complete before the caller stops
+/// waiting, those of the most urgent queue until they cannot be in time. All others stay at
+/// their entry, which can send them to whichever runner has free capacity first: a job with
+/// tasks in several wait queues is late as soon as one of the queues is slow.
 pub const fn wait(view: &View, now_ms: u64) -> messages::Wait {
-    let Rank(class, latest_ms) = rank(view, now_ms);
-    let last_ms = match class {
-        BEGUN => view.deadline_ms.saturating_sub(view.left_ms),
-        MOST_URGENT => view.due_ms.saturating_sub(view.left_ms),
+    let Rank(class, latest_start_ms) = rank(view, now_ms);
+    let wait_until_ms = match class {
+        STARTED => view.deadline_ms.saturating_sub(view.remaining_ms),
+        MOST_URGENT => view.due_ms.saturating_sub(view.remaining_ms),
         _ => 0,
     };
     messages::Wait {
-        most_ms: last_ms.saturating_sub(now_ms),
+        most_ms: wait_until_ms.saturating_sub(now_ms),
         class,
-        start_within_ms: latest_ms.saturating_sub(now_ms),
+        start_within_ms: latest_start_ms.saturating_sub(now_ms),
     }
 }
 
-/// Whether waiting on makes no sense for a job of which nothing was ordered.
+/// Returns whether a job that has not started can no longer complete in time.
 ///
-/// Room is short, or it would have started; served late it would make others late. Its
-/// caller hears at once that nothing ran.
-pub const fn is_hopeless(view: &View, now_ms: u64) -> bool {
-    let end_ms = now_ms + view.left_ms;
+/// It would have started if there were enough capacity. Served late, it would delay others, so
+/// it is refused at once and its caller learns that nothing ran.
+pub const fn is_infeasible(view: &View, now_ms: u64) -> bool {
+    let end_ms = now_ms + view.remaining_ms;
     !view.has_started && (end_ms > view.hold_until_ms || end_ms > view.deadline_ms)
 }
--- a/src/leased/dispatch/watching.rs
+++ b/src/leased/dispatch/watching.rs
@@ -1,15 +1,14 @@
-//! Which runners an entry keeps a watch open at.
+//! Chooses the runners at which an entry keeps a watch open.
 //!
-//! Load that this answers: dozens of entries and hundreds of runners. With a watch at each
-//! runner an entry spends more processor time on runners than on its callers, and each
-//! runner answers every entry.
+//! With dozens of entries and hundreds of runners, an entry that watched every runner would spend
+//! more processor time on runners than on its callers, and each runner would serve every entry.
 //!
-//! An entry watches the runners that hold its runs, as their leases need it, and a bounded
-//! set in which it looks for room. The set is the first of the runners in an order that
-//! differs from entry to entry (rendezvous hashing), most of them in the entry's own
-//! availability zone, up to the one with which enough of them take work: where some are
-//! gone, the next ones take their places. While the set has little room left, a few others
-//! are asked, and those with room are kept for as long as they are used.
+//! An entry watches the runners that hold its runs, whose leases it has to renew, and a bounded
+//! set in which it looks for free capacity. Each entry orders the runners of a service by
+//! rendezvous hashing, most of the first ones from its own availability zone. The set is the
+//! shortest prefix of that order with enough runners that accept work, so the next runners
+//! replace those that fail. While the set is short of free capacity, the entry probes a few
+//! runners outside it and keeps watching those that it uses.
 
 use std::collections;
 
@@ -20,97 +19,98 @@
 use crate::leased::messages;
 use crate::leased::ports;
 
-/// Runners of a service that take work and are watched in any case, unless the settings
-/// name another number.
+/// Default number of runners of a service that accept work and are always watched.
 pub const DEFAULT_SET_SIZE: usize = 24;
 
-/// Runners of the own availability zone in a row, before one of another zone: some are in
-/// sight when the whole zone is lost, and what operators ask for spreads between zones.
-const NEAR_IN_A_ROW: usize = 5;
+/// Number of runners of the entry's own availability zone for each runner of another zone.
+///
+/// Runners of other zones remain in the set if the whole zone fails, and carry directives
+/// between zones.
+const NEAR_PER_FAR: usize = 5;
 
-/// Time after which a runner whose watch was opened has to take work to count in the set,
-/// in milliseconds: a connection, a question and its answer.
-const GRACE_MS: u64 = 300;
+/// Time after opening a watch during which a runner counts as one that accepts work, in
+/// milliseconds: enough for a connection, a request and its answer.
+const OPENING_GRACE_MS: u64 = 300;
 
-/// Runners with room below which others are asked.
-const FEW_WITH_ROOM: usize = 4;
+/// Number of runners with free capacity below which runners outside the set are probed.
+const LOW_CAPACITY_RUNNERS: usize = 4;
 
-/// Runners asked at once.
-const PROBES: usize = 6;
+/// Maximum number of runners probed at once.
+const PROBES_PER_ROUND: usize = 6;
 
-/// Most runners beyond the set that are watched without a run of this entry.
-const MOST_BEYOND: usize = 24;
+/// Maximum number of watched runners that are outside the set and hold no runs of this entry.
+const MAX_EXTRA_WATCHES: usize = 24;
 
-/// Runners looked at for one that may be asked.
-const MOST_LOOKS: usize = 4 * PROBES;
+/// Maximum number of runners considered for one round of probes.
+const MAX_PROBE_CANDIDATES: usize = 4 * PROBES_PER_ROUND;
 
-/// Shortest pause between probes, in milliseconds: two ways and an answer.
-const FIRST_PAUSE_MS: u64 = 10;
+/// Minimum pause between rounds of probes, in milliseconds: a round trip and the answer.
+const MIN_PROBE_PAUSE_MS: u64 = 10;
 
-/// Longest pause between probes, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 320;
+/// Maximum pause between rounds of probes, in milliseconds.
+const MAX_PROBE_PAUSE_MS: u64 = 320;
 
-/// How long a runner beyond the set stays watched after it was asked or used, in
-/// milliseconds.
-const STAY_MS: u64 = 500;
+/// Time for which a runner outside the set stays watched after a probe or use, in milliseconds.
+const EXTRA_WATCH_MS: u64 = 500;
 
-/// How long a runner that didn't answer is not asked for room, in milliseconds.
-const SHUN_MS: u64 = 5_000;
+/// Time for which a runner that didn't answer is not probed again, in milliseconds.
+const UNANSWERED_PAUSE_MS: u64 = 5_000;
 
-/// How long a runner that is leaving is left alone, in milliseconds: it ends once nobody asks
-/// it any more, and its next life is found soon enough.
+/// Time for which no watch is opened at a runner that is leaving, in milliseconds.
+///
+/// The runner exits once no entry watches it, and its next incarnation is found soon enough.
 const LEAVING_PAUSE_MS: u64 = 500;
 
-/// A runner's watch.
+/// State of the watch at a runner.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Watch {
-    /// Since when it is open; absent: it is closed.
-    pub since_ms: Option<u64>,
-    /// Until when it stays open although the runner isn't in the set.
-    pub stays_until_ms: u64,
-    /// Until when it stays closed unless the runner holds runs.
+    /// Time at which the watch was opened; `None` if it is closed.
+    pub opened_ms: Option<u64>,
+    /// Time until which the watch stays open although the runner is outside the set.
+    pub keep_until_ms: u64,
+    /// Time until which the watch stays closed unless the runner holds runs.
     pub closed_until_ms: u64,
-    /// The runner's place in the order of its service.
+    /// Position of the runner in the order of its service.
     pub rank: usize,
 }
 
 impl Watch {
-    /// Whether it may be opened.
-    const fn may_open(&self, now_ms: u64) -> bool {
-        self.since_ms.is_none() && now_ms >= self.closed_until_ms
+    /// Returns whether the watch may be opened.
+    const fn can_open(&self, now_ms: u64) -> bool {
+        self.opened_ms.is_none() && now_ms >= self.closed_until_ms
     }
 
-    /// Whether it may be opened, or was so lately that the runner may not have answered yet.
-    fn is_new(&self, now_ms: u64) -> bool {
-        let is_fresh = |since_ms| now_ms < since_ms + GRACE_MS;
-        self.may_open(now_ms) || self.since_ms.is_some_and(is_fresh)
+    /// Returns whether the watch may be opened, or was opened within [`OPENING_GRACE_MS`].
+    fn is_opening(&self, now_ms: u64) -> bool {
+        let is_in_grace = |opened_ms| now_ms < opened_ms + OPENING_GRACE_MS;
+        self.can_open(now_ms) || self.opened_ms.is_some_and(is_in_grace)
     }
 }
 
-/// How far probing has come.
+/// Progress of the probes outside the set.
 #[derive(Clone, Copy, Debug, Default)]
 struct Probing {
-    /// Where the next probe looks, beyond the set.
+    /// Offset of the next runner to probe, counted from the end of the set.
     cursor: usize,
-    probed_ms: u64,
+    last_probe_ms: u64,
     pause_ms: u64,
 }
 
-/// The runners of one service, in the order in which they come into the set.
+/// Runners of one service, in the order in which they enter the set.
 #[derive(Clone, Debug, Default)]
 pub struct Group {
     order: Vec<runners::RunnerKey>,
-    /// How many of them are in the set.
-    set: usize,
+    /// Number of runners in the set.
+    set_len: usize,
     probing: Probing,
 }
 
 impl Group {
-    /// Runners of the own availability zone and of others, each in this entry's order.
+    /// Merges the runners of the entry's own zone and of others, each in this entry's order.
     pub fn new(near: &[runners::RunnerKey], far: &[runners::RunnerKey]) -> Self {
         let mut far_left = far.iter();
         let mut order = Vec::with_capacity(near.len() + far.len());
-        for row in near.chunks(NEAR_IN_A_ROW) {
+        for row in near.chunks(NEAR_PER_FAR) {
             order.extend(row);
             order.extend(far_left.next());
         }
@@ -121,69 +121,69 @@
         }
     }
 
-    /// The runners in the set.
+    /// Returns the runners in the set.
     pub fn set(&self) -> &[runners::RunnerKey] {
-        &self.order[..self.set]
+        &self.order[..self.set_len]
     }
 
-    /// Chooses the set anew, with `size` runners that count; `counts` tells whether one
-    /// takes work, or may.
+    /// Sets the length of the set so that it holds `size` runners for which `counts` holds, or all
+    /// runners if there are fewer.
     pub fn choose(&mut self, size: usize, counts: impl Fn(runners::RunnerKey) -> bool) {
         let counted = self.order.iter().zip(1..).filter(|(key, _)| counts(**key));
         let mut lengths = counted.map(|(_, length)| length);
         let last = lengths.nth(size.saturating_sub(1));
-        self.set = last.unwrap_or(self.order.len());
+        self.set_len = last.unwrap_or(self.order.len());
     }
 
-    /// Whom to ask for room now; `beyond` runners outside the set are watched already.
+    /// Returns the runners to probe now; `extra` runners outside the set are already watched.
     pub fn probe(
         &mut self,
         now_ms: u64,
-        beyond: usize,
-        may_ask: impl Fn(runners::RunnerKey) -> bool,
+        extra: usize,
+        can_probe: impl Fn(runners::RunnerKey) -> bool,
     ) -> Vec<runners::RunnerKey> {
-        let rest = self.order.len() - self.set;
-        if rest == 0 || now_ms < self.probing.probed_ms + self.probing.pause_ms {
+        let rest = self.order.len() - self.set_len;
+        if rest == 0 || now_ms < self.probing.last_probe_ms + self.probing.pause_ms {
             return Vec::new();
         }
-        let most = PROBES.min(MOST_BEYOND.saturating_sub(beyond));
-        let mut asked = Vec::with_capacity(most);
-        for _ in 0..MOST_LOOKS.min(rest) {
-            if asked.len() == most {
+        let limit = PROBES_PER_ROUND.min(MAX_EXTRA_WATCHES.saturating_sub(extra));
+        let mut probed = Vec::with_capacity(limit);
+        for _ in 0..MAX_PROBE_CANDIDATES.min(rest) {
+            if probed.len() == limit {
                 break;
             }
-            let key = self.order[self.set + self.probing.cursor % rest];
+            let key = self.order[self.set_len + self.probing.cursor % rest];
             self.probing.cursor += 1;
-            if may_ask(key) {
-                asked.push(key);
+            if can_probe(key) {
+                probed.push(key);
             }
         }
-        let was_long_ago = now_ms > self.probing.probed_ms + 2 * LONGEST_PAUSE_MS;
-        let last_ms = if was_long_ago {
+        let has_expired = now_ms > self.probing.last_probe_ms + 2 * MAX_PROBE_PAUSE_MS;
+        let last_pause_ms = if has_expired {
             0
         } else {
             self.probing.pause_ms
         };
-        self.probing.pause_ms = (2 * last_ms).clamp(FIRST_PAUSE_MS, LONGEST_PAUSE_MS);
-        self.probing.probed_ms = now_ms;
-        asked
+        self.probing.pause_ms = (2 * last_pause_ms).clamp(MIN_PROBE_PAUSE_MS, MAX_PROBE_PAUSE_MS);
+        self.probing.last_probe_ms = now_ms;
+        probed
     }
 
-    /// A runner beyond the set had room: others may have some, too.
-    pub const fn found_room(&mut self) {
-        self.probing.pause_ms = FIRST_PAUSE_MS;
+    /// Resets the pause between probes after a runner outside the set had capacity: others may too.
+    pub const fn reset_pause(&mut self) {
+        self.probing.pause_ms = MIN_PROBE_PAUSE_MS;
     }
 }
 
-/// Whom the entry watches.
+/// All watches of an entry.
 #[derive(Clone, Debug)]
 pub struct Watches {
-    /// How many runners of a service that take work are in the set.
+    /// Number of runners of a service in the set that accept work.
     pub size: usize,
     groups: collections::BTreeMap<SmolStr, Group>,
-    /// Runners with an open watch.
+    /// Keys of the runners with an open watch.
     open: Vec<runners::RunnerKey>,
-    /// Whether runners came, went, or told that they are elsewhere.
+    /// Whether runners were added, removed or moved since the groups were built.
     pub is_stale: bool,
 }
 
@@ -199,29 +199,29 @@
 }
 
 impl Watches {
-    /// Runners with an open watch.
+    /// Returns the runners with an open watch.
     pub fn open(&self) -> &[runners::RunnerKey] {
         &self.open
     }
 }
 
-/// Room that was left for a service when its waiting jobs had been placed.
+/// Free capacity of a service after its waiting jobs were placed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Left {
-    /// Runners with room for one more of the largest tasks.
-    pub with_room: usize,
-    /// Whether a job waits on.
+pub struct RemainingCapacity {
+    /// Number of runners with capacity for another task of the largest size.
+    pub runners_with_capacity: usize,
+    /// Whether any job is still waiting.
     pub has_waiting: bool,
 }
 
-impl Left {
-    fn is_little(self) -> bool {
-        self.has_waiting || self.with_room < FEW_WITH_ROOM
+impl RemainingCapacity {
+    fn is_low(self) -> bool {
+        self.has_waiting || self.runners_with_capacity < LOW_CAPACITY_RUNNERS
     }
 }
 
 impl dispatch::Dispatcher {
-    /// Another entry told the addresses of runners.
+    /// Adds runners whose addresses another entry reported.
     pub fn add_runners(&mut self, now_ms: u64, addresses: &[SmolStr]) -> Vec<dispatch::Action> {
         for address in addresses {
             if !self.by_address.contains_key(address) {
@@ -232,13 +232,13 @@
                 self.add_runner(now_ms, member);
             }
         }
-        self.keep_watches(now_ms)
+        self.open_watches(now_ms)
     }
 
-    /// The store lists these runners and no others.
+    /// Replaces the store's list of runners.
     ///
-    /// One that isn't listed any more is forgotten once it is silent; one that is listed
-    /// stays known however long it is silent.
+    /// A runner that is no longer listed is removed once it is silent. A listed runner is kept
+    /// however long it is silent.
     pub fn update_listing(
         &mut self,
         now_ms: u64,
@@ -254,35 +254,35 @@
             };
             let runner = &mut self.runners[key];
             runner.listing = runners::Listing::Listed;
-            let is_told = !member.service.is_empty();
-            if is_told && !runner.was_heard() && runner.member != *member {
+            let is_described = !member.service.is_empty();
+            if is_described && !runner.was_seen() && runner.member != *member {
                 runner.member = member.clone();
                 self.watches.is_stale = true;
             }
         }
-        self.forget_runners(now_ms);
-        self.keep_watches(now_ms)
+        self.remove_silent_runners(now_ms);
+        self.open_watches(now_ms)
     }
 
     fn add_runner(&mut self, now_ms: u64, member: ports::Member) -> runners::RunnerKey {
-        log::info!(event = "runner.found", address = member.address.as_str(), zone = member.zone.as_str(); "found");
+        log::info!(event = "runner.found", address = member.address.as_str(), zone = member.zone.as_str(); "runner added");
         let address = member.address.clone();
-        let runner = runners::Runner::new(self.me, member, now_ms);
+        let runner = runners::Runner::new(self.incarnation, member, now_ms);
         let key = self.runners.insert(runner);
         self.by_address.insert(address, key);
         self.watches.is_stale = true;
         key
     }
 
-    /// Forgets runners that are silent and that the store doesn't list.
-    pub(super) fn forget_runners(&mut self, now_ms: u64) {
+    /// Removes runners that are silent and that the store doesn't list.
+    pub(super) fn remove_silent_runners(&mut self, now_ms: u64) {
         let before = self.runners.len();
         self.runners
-            .retain(|_, runner| !runner.is_forgotten(now_ms));
+            .retain(|_, runner| !runner.is_removable(now_ms));
         if self.runners.len() == before {
             return;
         }
-        log::info!(event = "runner.forgotten", count = before - self.runners.len(), left = self.runners.len(); "silent and not listed");
+        log::info!(event = "runner.forgotten", count = before - self.runners.len(), left = self.runners.len(); "removed runners that are silent and not listed");
         let runners = &self.runners;
         self.by_address.retain(|_, key| runners.contains_key(*key));
         self.watches.open.retain(|key| runners.contains_key(*key));
@@ -290,50 +290,50 @@
         self.watches.is_stale = true;
     }
 
-    /// Notes where a runner says that it is.
-    pub(super) fn note_whereabouts(&mut self, key: runners::RunnerKey) {
+    /// Takes over the service and zone that a runner reports.
+    pub(super) fn update_location(&mut self, key: runners::RunnerKey) {
         let Some(runner) = self.runners.get_mut(key) else {
             return;
         };
-        let (held, told) = (&mut runner.member, &runner.load);
-        let is_same = held.service == told.service && held.zone == told.zone;
-        if told.service.is_empty() || is_same {
+        let (known, reported) = (&mut runner.member, &runner.load);
+        let is_same = known.service == reported.service && known.zone == reported.zone;
+        if reported.service.is_empty() || is_same {
             return;
         }
-        held.service = told.service.clone();
-        held.zone = told.zone.clone();
+        known.service = reported.service.clone();
+        known.zone = reported.zone.clone();
         self.watches.is_stale = true;
     }
 
-    /// Opens the watches that are to be open and aren't.
-    pub(super) fn keep_watches(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
+    /// Chooses the set of each service anew and opens the missing watches.
+    pub(super) fn open_watches(&mut self, now_ms: u64) -> Vec<dispatch::Action> {
         if self.watches.is_stale {
-            self.regroup();
+            self.rebuild_groups();
         }
         let (runners, directives) = (&self.runners, self.directives.latest());
         let counts = |key| {
             let runner: &runners::Runner = &runners[key];
-            let may_take = runner.watch.is_new(now_ms) || runner.is_usable(now_ms);
-            may_take && !directives.is_zone_out(&runner.member.zone)
+            let may_count = runner.watch.is_opening(now_ms) || runner.is_usable(now_ms);
+            may_count && !directives.is_zone_out(&runner.member.zone)
         };
         let mut closed = Vec::new();
         for group in self.watches.groups.values_mut() {
             group.choose(self.watches.size, counts);
             let set = group.set().iter();
-            closed.extend(set.filter(|key| runners[**key].watch.may_open(now_ms)));
+            closed.extend(set.filter(|key| runners[**key].watch.can_open(now_ms)));
         }
         let opened = closed.into_iter();
         opened.map(|key| self.open_watch(now_ms, key)).collect()
     }
 
     fn open_watch(&mut self, now_ms: u64, key: runners::RunnerKey) -> dispatch::Action {
-        self.runners[key].watch.since_ms = Some(now_ms);
+        self.runners[key].watch.opened_ms = Some(now_ms);
         self.watches.open.push(key);
         dispatch::Action::Watch(key)
     }
 
-    /// Orders the runners of each service anew.
-    fn regroup(&mut self) {
+    /// Rebuilds the order of the runners of each service.
+    fn rebuild_groups(&mut self) {
         self.watches.is_stale = false;
         let mut by_service: collections::BTreeMap<SmolStr, Vec<_>> = collections::BTreeMap::new();
         for (key, runner) in &self.runners {
@@ -359,83 +359,83 @@
 
     fn is_in_set(&self, runner: &runners::Runner) -> bool {
         let group = self.watches.groups.get(&runner.member.service);
-        group.is_some_and(|group| runner.watch.rank < group.set)
+        group.is_some_and(|group| runner.watch.rank < group.set_len)
     }
 
-    /// Closes a runner's watch if nothing needs it; whether it did.
+    /// Closes the watch at a runner if it is not needed; returns whether it was closed.
     pub(super) fn close_idle_watch(&mut self, now_ms: u64, key: runners::RunnerKey) -> bool {
         let Some(runner) = self.runners.get(key) else {
             return false;
         };
         let is_wanted =
-            now_ms < runner.watch.stays_until_ms || self.watches.is_stale || self.is_in_set(runner);
-        // Until it is heard, nothing is known of its next life.
-        let was_heard = runner.was_heard_since(runner.watch.since_ms.unwrap_or(now_ms));
-        let is_leaving = was_heard && runner.load.readiness == messages::Readiness::Leaving;
+            now_ms < runner.watch.keep_until_ms || self.watches.is_stale || self.is_in_set(runner);
+        // Until the runner's first report, its load is that of the previous incarnation.
+        let was_seen = runner.was_seen_since(runner.watch.opened_ms.unwrap_or(now_ms));
+        let is_leaving = was_seen && runner.load.readiness == messages::Readiness::Leaving;
         if runner.placed() > 0 || (is_wanted && !is_leaving) {
             return false;
         }
         let runner = &mut self.runners[key];
-        runner.watch.since_ms = None;
+        runner.watch.opened_ms = None;
         if is_leaving {
             runner.watch.closed_until_ms = now_ms + LEAVING_PAUSE_MS;
-        } else if !was_heard {
-            runner.watch.closed_until_ms = now_ms + SHUN_MS;
+        } else if !was_seen {
+            runner.watch.closed_until_ms = now_ms + UNANSWERED_PAUSE_MS;
         }
         self.watches.open.retain(|open| *open != key);
-        log::debug!(event = "watch.closed", runner = runner.address().as_str(); "not needed");
+        log::debug!(event = "watch.closed", runner = runner.address().as_str(); "watch not needed any more");
         true
     }
 
-    /// Asks a few runners beyond the set where little room is left.
-    pub(super) fn seek_room(
+    /// Probes a few runners outside the set if the free capacity is low.
+    pub(super) fn probe_for_capacity(
         &mut self,
         now_ms: u64,
         service: &SmolStr,
-        left: Left,
+        remaining: RemainingCapacity,
     ) -> Vec<dispatch::Action> {
-        if !left.is_little() {
+        if !remaining.is_low() {
             return Vec::new();
         }
-        let beyond = self.watched_beyond_set(service);
+        let extra = self.extra_watches(service);
         let (runners, directives) = (&self.runners, self.directives.latest());
-        let may_ask = |key| {
+        let can_probe = |key| {
             let runner: &runners::Runner = &runners[key];
-            runner.watch.may_open(now_ms) && !directives.is_zone_out(&runner.member.zone)
+            runner.watch.can_open(now_ms) && !directives.is_zone_out(&runner.member.zone)
         };
         let Some(group) = self.watches.groups.get_mut(service) else {
             return Vec::new();
         };
-        let asked = group.probe(now_ms, beyond, may_ask);
+        let asked = group.probe(now_ms, extra, can_probe);
         if !asked.is_empty() {
-            log::info!(event = "room.sought", service = service.as_str(), with_room = left.with_room, waiting = left.has_waiting, asked = asked.len(), watched_beyond = beyond, pause_ms = group.probing.pause_ms; "little room in sight");
+            log::info!(event = "room.sought", service = service.as_str(), with_room = remaining.runners_with_capacity, waiting = remaining.has_waiting, asked = asked.len(), watched_beyond = extra, pause_ms = group.probing.pause_ms; "little free capacity at the watched runners; probing others");
         }
         let mut actions = Vec::with_capacity(asked.len());
         for key in asked {
-            self.runners[key].watch.stays_until_ms = now_ms + STAY_MS;
+            self.runners[key].watch.keep_until_ms = now_ms + EXTRA_WATCH_MS;
             actions.push(self.open_watch(now_ms, key));
         }
         actions
     }
 
-    fn watched_beyond_set(&self, service: &SmolStr) -> usize {
+    fn extra_watches(&self, service: &SmolStr) -> usize {
         let open = self.watches.open.iter().map(|key| &self.runners[*key]);
-        let is_beyond = |runner: &&runners::Runner| {
+        let is_extra = |runner: &&runners::Runner| {
             runner.member.service == *service && runner.placed() == 0 && !self.is_in_set(runner)
         };
-        open.filter(is_beyond).count()
+        open.filter(is_extra).count()
     }
 
-    /// Work goes to a runner: one beyond the set stays watched for a while.
-    pub(super) fn note_use(&mut self, now_ms: u64, key: runners::RunnerKey) {
+    /// Keeps a runner outside the set watched for a while when work is sent to it.
+    pub(super) fn extend_watch(&mut self, now_ms: u64, key: runners::RunnerKey) {
         let runner = &self.runners[key];
         if self.is_in_set(runner) {
             return;
         }
         let service = runner.member.service.clone();
-        self.runners[key].watch.stays_until_ms = now_ms + STAY_MS;
+        self.runners[key].watch.keep_until_ms = now_ms + EXTRA_WATCH_MS;
         if let Some(group) = self.watches.groups.get_mut(&service) {
-            group.found_room();
+            group.reset_pause();
         }
     }
 }
--- a/src/leased/job.rs
+++ b/src/leased/job.rs
@@ -1,4 +1,4 @@
-//! A job under leases as its caller hands it in, and the checked form of it.
+//! Jobs under leases, as submitted and after validation.
 
 use std::sync;
 
@@ -6,120 +6,120 @@
 
 use crate::wire;
 
-/// Most tasks of one job; twice the largest job of the plans.
+/// Maximum number of tasks of a job: twice the largest job that is planned for.
 pub const MAX_TASKS: u32 = 600;
 
-/// Longest text that tells a backend server what to run, in bytes.
+/// Maximum length of the text that tells a backend server what to run, in bytes.
 pub const MAX_SPEC_BYTES: usize = 4_000;
 
-/// Most steps of one job.
+/// Maximum number of steps of a job.
 pub const MAX_STEPS: usize = 64;
 
 quick_error! {
-    /// Why a job can't be taken.
+    /// Reason for which a job is invalid.
     #[derive(Clone, Copy, Debug, Eq, PartialEq)]
     pub enum JobError {
-        /// The id is not one.
+        /// Malformed job id.
         Id {
-            display("the id has to be 16 hexadecimal digits")
+            display("invalid job id: expected 16 hexadecimal digits")
         }
         /// The text for the backend server is too long.
         Spec {
-            display("the text for the backend server has more than {MAX_SPEC_BYTES} bytes")
+            display("the text for the backend server is longer than {MAX_SPEC_BYTES} bytes")
         }
-        /// No task, or more than is taken.
+        /// Too few or too many steps or tasks.
         Size {
-            display("a job has 1 to {MAX_STEPS} steps and 1 to {MAX_TASKS} tasks")
+            display("a job needs 1 to {MAX_STEPS} steps, 1 to {MAX_TASKS} tasks and no empty step")
         }
-        /// A step waits for itself or for one that comes after it.
+        /// A step depends on itself or on a later step.
         Order {
-            display("a step can only wait for steps before it")
+            display("a step may only depend on earlier steps")
         }
-        /// Something that isn't offered.
+        /// Unsupported feature.
         NotOffered(what: &'static str) {
-            display("{what} is not offered")
+            display("{what} is not supported")
         }
     }
 }
 
-/// A job before it is checked.
+/// Job before validation.
 #[derive(Clone, Debug, Default)]
 pub struct RawJob {
-    /// The caller's id.
+    /// Id chosen by the caller.
     pub id: SmolStr,
-    /// What the backend server is told.
+    /// Text that tells the backend server what to run.
     pub spec: String,
-    /// The steps.
+    /// Steps of the job.
     pub steps: Vec<RawStep>,
-    /// What it asks for beyond plain tasks, if that is not offered.
+    /// Unsupported feature that the job requests, if any.
     pub not_offered: Option<&'static str>,
 }
 
-/// A step before it is checked.
+/// Step before validation.
 #[derive(Clone, Debug, Default)]
 pub struct RawStep {
-    /// How many tasks.
+    /// Number of tasks.
     pub tasks: u32,
-    /// What each task takes.
+    /// Resources of each task.
     pub need: wire::Resources,
-    /// Roughly how long each runs, in milliseconds.
+    /// Approximate run time of each task, in milliseconds.
     pub estimate_ms: u64,
-    /// Steps that have to be complete first.
+    /// Indices of the steps that have to complete first.
     pub after: Vec<u16>,
-    /// A label that the backend server has to have.
+    /// Label that the backend server must have.
     pub label: Option<SmolStr>,
-    /// The rack near the data.
+    /// Rack close to the data.
     pub rack: Option<SmolStr>,
-    /// At most so many tasks on one backend server; 0 for any number.
+    /// Maximum number of tasks on one backend server; 0 for no limit.
     pub max_per_server: u32,
 }
 
-/// A checked step.
+/// Validated step.
 #[derive(Clone, Debug)]
 pub struct Step {
-    /// How many tasks; at least one.
+    /// Number of tasks; at least 1.
     pub tasks: u32,
-    /// What each task takes.
+    /// Resources of each task.
     pub need: wire::Resources,
-    /// Roughly how long each runs, in milliseconds; at least one.
+    /// Approximate run time of each task, in milliseconds; at least 1.
     pub estimate_ms: u64,
-    /// Earlier steps that have to be complete first.
+    /// Indices of the earlier steps that have to complete first.
     pub after: Vec<u16>,
-    /// A label that the backend server has to have.
+    /// Label that the backend server must have.
     pub label: Option<SmolStr>,
-    /// The rack near the data.
+    /// Rack close to the data.
     pub rack: Option<SmolStr>,
-    /// At most so many tasks on one backend server.
+    /// Maximum number of tasks on one backend server.
     pub max_per_server: u32,
 }
 
-/// A checked job.
+/// Validated job.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// The caller's id.
+    /// Id chosen by the caller.
     pub id: SmolStr,
-    /// What the backend server is told.
+    /// Text that tells the backend server what to run.
     pub spec: sync::Arc<str>,
-    /// The steps; at least one.
+    /// Steps of the job; at least one.
     pub steps: Vec<Step>,
 }
 
 impl Job {
-    /// The longest chain of steps that wait for each other, in milliseconds as declared.
+    /// Returns the declared run time of the longest chain of dependent steps, in milliseconds.
     pub fn critical_path_ms(&self) -> u64 {
         let mut ends: Vec<u64> = Vec::with_capacity(self.steps.len());
         for step in &self.steps {
-            let before = step.after.iter().map(|&at| ends[usize::from(at)]);
+            let before = step.after.iter().map(|&index| ends[usize::from(index)]);
             ends.push(before.max().unwrap_or(0) + step.estimate_ms);
         }
         ends.into_iter().max().unwrap_or(0)
     }
 
-    /// Thousandths of a core times milliseconds that all tasks take as declared.
+    /// Returns the declared work of all tasks, in thousandths of a core times milliseconds.
     pub fn work(&self) -> u64 {
-        let of =
+        let step_work =
             |step: &Step| u64::from(step.tasks) * u64::from(step.need.cpu_milli) * step.estimate_ms;
-        self.steps.iter().map(of).sum()
+        self.steps.iter().map(step_work).sum()
     }
 }
 
@@ -156,8 +156,8 @@
     is_hex.then_some(()).ok_or(JobError::Id)
 }
 
-fn check_step((at, raw): (usize, RawStep)) -> Result<Step, JobError> {
-    if raw.after.iter().any(|&other| usize::from(other) >= at) {
+fn check_step((index, raw): (usize, RawStep)) -> Result<Step, JobError> {
+    if raw.after.iter().any(|&other| usize::from(other) >= index) {
         return Err(JobError::Order);
     }
     Ok(Step {
--- a/src/leased/queues.rs
+++ b/src/leased/queues.rs
@@ -1,4 +1,4 @@
-//! The queues that operators configure: who is served, by which backend servers, how fast.
+//! Queues configured by operators: which callers they serve, at which backend servers, how fast.
 
 use std::collections;
 
@@ -6,41 +6,41 @@
 use serde::Serialize;
 use smol_str::SmolStr;
 
-/// One queue.
+/// Configured queue.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: SmolStr,
-    /// The host that callers name.
+    /// Host to which callers send their requests.
     pub host: SmolStr,
-    /// What the path begins with; the job's id follows.
+    /// Prefix of the request path, before the job's id.
     pub prefix: SmolStr,
-    /// Which backend servers run its tasks.
+    /// Service whose backend servers run the tasks.
     pub service: SmolStr,
-    /// Longest time for an answer where the caller names none, in milliseconds.
+    /// Time limit for a job whose caller gives none, in milliseconds.
     pub timeout_ms: u64,
-    /// Time that a caller grants beyond the work itself, in milliseconds.
+    /// Time allowed for a job beyond the multiple of its own run time, in milliseconds.
     pub target_ms: u64,
-    /// How many times the work's own time a caller grants.
+    /// Multiple of a job's own run time that is allowed for it.
     pub stretch: f64,
-    /// Runs of one task that may end as failed.
+    /// Number of failed runs of one task after which the job fails.
     pub max_attempts: u32,
-    /// Which queue goes first; 0 before 1.
+    /// Priority among the queues of the service; 0 comes first.
     pub priority: u32,
-    /// Whether another service has to name the backend servers allowed for each step.
+    /// Whether another service has to name the permitted backend servers for each step.
     pub needs_advice: bool,
 }
 
-/// Bounds on what a caller sends.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Bounds {
-    /// Largest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
 }
 
-/// Bodies of at most 256 KiB, as long as operators say nothing else.
+/// Maximum size of a request body unless operators configure another one, in bytes.
 const DEFAULT_BODY_BYTES: usize = 256 << 10;
 
 impl Default for Bounds {
@@ -51,18 +51,18 @@
     }
 }
 
-/// All queues of one configuration, ready for looking up.
+/// Index of the queues of one configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Queues {
     by_host: collections::HashMap<SmolStr, Prefixes>,
-    /// The priorities of each service's queues.
+    /// Distinct priorities of the queues, by service.
     priorities: collections::HashMap<SmolStr, collections::BTreeSet<u32>>,
-    /// Bounds on what a caller sends.
+    /// Limits on callers' requests.
     pub bounds: Bounds,
 }
 
 impl Queues {
-    /// Sorts the queues for looking up.
+    /// Builds the index.
     pub fn new(queues: &[Queue], bounds: Bounds) -> Self {
         let mut by_host: collections::HashMap<SmolStr, Prefixes> = collections::HashMap::new();
         let mut priorities: collections::HashMap<SmolStr, collections::BTreeSet<u32>> =
@@ -84,9 +84,9 @@
         }
     }
 
-    /// How many priorities of the same service's queues go before this queue's.
+    /// Returns the number of distinct priorities of the service's queues that come before this one.
     ///
-    /// Operators number as they like; what counts is who goes before whom.
+    /// Operators number priorities freely, so only their order counts.
     pub fn precedence(&self, queue: &Queue) -> u8 {
         let Some(priorities) = self.priorities.get(&queue.service) else {
             return 0;
@@ -95,14 +95,15 @@
         u8::try_from(before).unwrap_or(u8::MAX)
     }
 
-    /// The queue with the longest prefix of the path, and the rest of the path.
+    /// Returns the queue with the longest matching prefix, and the rest of the path.
     pub fn find<'a>(&self, host: &str, path: &'a str) -> Option<(&Queue, &'a str)> {
         self.by_host.get(host)?.find(path)
     }
 }
 
-/// The queues of one host. Looking one up takes as long as there are lengths of prefixes,
-/// however many queues there are.
+/// Queues of one host.
+///
+/// A lookup takes one step for each distinct prefix length, however many queues there are.
 #[derive(Clone, Debug, Default)]
 struct Prefixes {
     by_prefix: collections::HashMap<SmolStr, Queue>,
@@ -110,7 +111,7 @@
 }
 
 impl Prefixes {
-    /// Adds a queue; of two with the same prefix the first one counts.
+    /// Adds a queue; of two queues with the same prefix, the first one stays.
     fn add(&mut self, queue: Queue) {
         self.lengths.insert(queue.prefix.len());
         self.by_prefix.entry(queue.prefix.clone()).or_insert(queue);
--- a/tests/unit/leased/placement.rs
+++ b/tests/unit/leased/placement.rs
@@ -10,23 +10,23 @@
 
 fn candidates(free: &[(u32, bool, &str)]) -> Vec<placement::Candidate> {
     let mut keys: SlotMap<runners::RunnerKey, ()> = SlotMap::with_key();
-    let candidate = |&(cpu_milli, is_near, rack): &(u32, bool, &str)| placement::Candidate {
+    let candidate = |&(cpu_milli, is_same_zone, rack): &(u32, bool, &str)| placement::Candidate {
         key: keys.insert(()),
         free: fixtures::cores(cpu_milli),
         size_milli: 16_000,
-        line_milli: [0; messages::URGENCY_CLASSES],
-        line_taken_milli: 0,
+        queue_free_milli: [0; messages::URGENCY_CLASSES],
+        queue_taken_milli: 0,
         is_suspect: false,
-        places: u32::MAX,
-        is_near,
+        task_allowance: u32::MAX,
+        is_same_zone,
         preference: cpu_milli.into(),
         labels: [SmolStr::new(rack)].into(),
     };
     free.iter().map(candidate).collect()
 }
 
-fn asks(count: usize, cpu_milli: u32) -> Vec<placement::Ask<'static>> {
-    let ask = |task| placement::Ask {
+fn asks(count: usize, cpu_milli: u32) -> Vec<placement::Request<'static>> {
+    let ask = |task| placement::Request {
         task,
         step: 0,
         need: fixtures::cores(cpu_milli),
@@ -90,7 +90,7 @@
 fn one_whose_tasks_fare_badly_comes_last_and_gets_no_more_than_allowed() {
     let mut free = candidates(&[(8_000, true, "r1"), (9_000, false, "r2")]);
     free[0].is_suspect = true;
-    free[1].places = 2;
+    free[1].task_allowance = 2;
 
     let placed = placement::place(&asks(3, 1_600), &mut free);
 
@@ -104,7 +104,7 @@
 #[test]
 fn a_job_that_finds_no_place_for_all_its_tasks_takes_none() {
     let mut free = candidates(&[(1_600, true, "r1"), (0, true, "r2")]);
-    free[1].line_milli = [1_600; messages::URGENCY_CLASSES];
+    free[1].queue_free_milli = [1_600; messages::URGENCY_CLASSES];
     let mut asks = asks(3, 1_600);
     for ask in &mut asks {
         ask.may_wait = true;
@@ -122,7 +122,7 @@
 #[test]
 fn a_line_full_of_less_urgent_runs_has_a_place() {
     let mut free = candidates(&[(0, true, "r1")]);
-    free[0].line_milli = [4_000, 1_600, 0, 0, 0];
+    free[0].queue_free_milli = [4_000, 1_600, 0, 0, 0];
     let mut asks = asks(1, 1_600);
     asks[0].may_wait = true;
 
--- a/tests/unit/leased/urgency.rs
+++ b/tests/unit/leased/urgency.rs
@@ -2,15 +2,15 @@
 
 use bulrushtiller::leased::dispatch::urgency;
 
-fn view(arrived_ms: u64, left_ms: u64) -> urgency::View {
-    let objective_ms = left_ms * 16 / 10 + 60;
+fn view(arrived_ms: u64, remaining_ms: u64) -> urgency::View {
+    let objective_ms = remaining_ms * 16 / 10 + 60;
     urgency::View {
         has_started: false,
         precedence: 0,
         due_ms: arrived_ms + objective_ms,
         hold_until_ms: arrived_ms + objective_ms,
         deadline_ms: arrived_ms + 5_000,
-        left_ms,
+        remaining_ms,
     }
 }
 
@@ -61,8 +61,8 @@
 fn one_that_can_not_be_in_time_is_refused() {
     let waiting = view(1_000, 200);
 
-    assert!(!urgency::is_hopeless(&waiting, 1_180));
-    assert!(urgency::is_hopeless(&waiting, 1_181));
+    assert!(!urgency::is_infeasible(&waiting, 1_180));
+    assert!(urgency::is_infeasible(&waiting, 1_181));
 }
 
 /// Room is short, and each job starts in the last moment that its declared time leaves. Its
