--- a/src/leased/dispatch/watching.rs
+++ b/src/leased/dispatch/watching.rs
@@ -369,7 +369,7 @@
         };
         let is_wanted =
             now_ms < runner.watch.keep_until_ms || self.watches.is_stale || self.is_in_set(runner);
-        // Until the runner's first report, its load is that of the previous incarnation.
+        // Until the runner answers this watch, its load may be that of its previous incarnation.
         let was_seen = runner.was_seen_since(runner.watch.opened_ms.unwrap_or(now_ms));
         let is_leaving = was_seen && runner.load.readiness == messages::Readiness::Leaving;
         if runner.placed() > 0 || (is_wanted && !is_leaving) {
--- a/tests/unit/leased/directives.rs
+++ b/tests/unit/leased/directives.rs
@@ -1,4 +1,4 @@
-//! How what operators ask for spreads between entries and runners.
+//! Propagation of directives between entries and runners.
 
 use bulrushtiller::leased::directives;
 use bulrushtiller::leased::dispatch;
@@ -12,18 +12,18 @@
 use super::fixtures::OTHER;
 use super::fixtures::START_MS;
 
-/// Where the entry that has everything answers.
+/// Address of the entry that holds the configuration.
 const HOLDER: &str = "10.0.0.1:7720";
 
-/// Time that the store has to tell a change before another entry is asked.
-const PATIENCE_MS: u64 = 700;
+/// Time that the store has to deliver a change before another entry is asked, in milliseconds.
+const STORE_WAIT_MS: u64 = 700;
 
-/// An entry that knows one runner.
+/// Creates an entry that knows one runner.
 fn entry() -> (dispatch::Dispatcher, runners::RunnerKey) {
     let mut entry = dispatch::Dispatcher::new(ENTRY, "bento".into());
     let actions = entry.add_runners(START_MS, &["10.0.0.9:7720".into()]);
     let Some(dispatch::Action::Watch(key)) = actions.first() else {
-        panic!("no watch: {actions:?}");
+        panic!("expected a watch, got {actions:?}");
     };
     (entry, *key)
 }
@@ -33,7 +33,7 @@
     watch
 }
 
-/// A watch of an entry that has the directives whole.
+/// Builds a watch of an entry that holds the directives.
 fn watch_of_holder(held: &directives::Directives) -> messages::Watch {
     messages::Watch {
         address: Some(HOLDER.into()),
@@ -44,8 +44,8 @@
     }
 }
 
-/// A report that says that a later configuration is in force elsewhere.
-fn report_of_news(position: u64) -> messages::Report {
+/// Builds a report that announces a newer configuration and an entry that holds it.
+fn report_with_notice(position: u64) -> messages::Report {
     messages::Report {
         notice: Some((&fixtures::directives(position)).into()),
         holder: Some(HOLDER.into()),
@@ -53,7 +53,7 @@
     }
 }
 
-fn learned_from(actions: &[dispatch::Action]) -> Vec<&str> {
+fn fetched_from(actions: &[dispatch::Action]) -> Vec<&str> {
     let mut holders = Vec::new();
     for action in actions {
         if let dispatch::Action::Fetch(holder) = action {
@@ -63,21 +63,24 @@
     holders
 }
 
-/// Guards against watches and reports that grow with the configuration and are lost.
+/// Guards against watches and reports that grow with the configuration until they time out.
 #[test]
-fn messages_to_and_from_runners_do_not_grow_with_the_queues() {
+fn size_of_watches_and_reports_is_independent_of_the_queues() {
     let size_with = |queues| {
         let held = fixtures::large_directives(9, queues);
         let (mut entry, key) = entry();
         entry.update_directives(held.clone());
         let watch = watch_of(&mut entry, key);
-        let mut room = fixtures::ready_manager();
-        room.watch(START_MS, &watch_of_holder(&held));
-        room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
-        let report = room.report(START_MS, ENTRY);
+        let mut manager = fixtures::ready_manager();
+        manager.watch(START_MS, &watch_of_holder(&held));
+        manager.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
+        let report = manager.report(START_MS, ENTRY);
         assert!(watch.notice.is_some() && report.notice.is_some());
-        let watch = wire::encode(&watch).expect("written");
-        (watch.len(), wire::encode(&report).expect("written").len())
+        let watch = wire::encode(&watch).expect("encodable message");
+        (
+            watch.len(),
+            wire::encode(&report).expect("encodable message").len(),
+        )
     };
 
     let (few, many) = (size_with(1), size_with(1_400));
@@ -85,70 +88,70 @@
     assert_eq!(few, many);
 }
 
-/// Guards against an entry that is told of a change and finds nobody who has it.
+/// Guards against an entry that learns of a change but of no entry that holds it.
 #[test]
-fn a_runner_names_the_entry_that_has_what_another_one_lacks() {
+fn runner_names_a_holder_to_an_entry_that_lacks_the_configuration() {
     let held = fixtures::directives(9);
-    let mut room = fixtures::ready_manager();
-    room.watch(START_MS, &watch_of_holder(&held));
-    room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
+    let mut manager = fixtures::ready_manager();
+    manager.watch(START_MS, &watch_of_holder(&held));
+    manager.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
 
-    let to_lacking = room.report(START_MS, ENTRY);
-    let to_holder = room.report(START_MS, OTHER);
+    let to_lacking = manager.report(START_MS, ENTRY);
+    let to_holder = manager.report(START_MS, OTHER);
 
     assert_eq!(to_lacking.holder.as_deref(), Some(HOLDER));
     assert_eq!(to_lacking.notice, Some((&held).into()));
     assert_eq!((to_holder.notice, to_holder.holder), (None, None));
 }
 
-/// Guards against a runner that sends askers to an entry whose configuration is older.
+/// Guards against a runner that refers entries to one whose configuration is older.
 #[test]
-fn an_entry_that_only_heard_of_a_change_is_not_named() {
-    let mut room = fixtures::ready_manager();
-    room.watch(START_MS, &watch_of_holder(&fixtures::directives(9)));
+fn entry_that_only_relayed_a_notice_is_not_named_as_holder() {
+    let mut manager = fixtures::ready_manager();
+    manager.watch(START_MS, &watch_of_holder(&fixtures::directives(9)));
     let relayed = messages::Watch {
         notice: Some((&fixtures::directives(11)).into()),
         ..watch_of_holder(&fixtures::directives(9))
     };
-    room.watch(START_MS, &relayed);
-    room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
+    manager.watch(START_MS, &relayed);
+    manager.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
 
-    let report = room.report(START_MS, ENTRY);
+    let report = manager.report(START_MS, ENTRY);
 
     assert_eq!(report.notice.map(|notice| notice.version), Some(11));
     assert_eq!(report.holder, None);
 }
 
-/// Guards against a runner that answers at once, again and again, for as long as an entry
-/// fetches what it lacks.
+/// Guards against a runner that answers each watch at once while an entry fetches the
+/// configuration.
 #[test]
-fn an_entry_that_was_told_is_not_woken_until_it_has_the_configuration() {
+fn notified_entry_is_not_notified_again_while_it_lacks_the_configuration() {
     let held = fixtures::directives(9);
-    let mut room = fixtures::ready_manager();
-    room.watch(START_MS, &watch_of_holder(&held));
-    room.report(START_MS, ENTRY);
-    let told = messages::Watch {
+    let mut manager = fixtures::ready_manager();
+    manager.watch(START_MS, &watch_of_holder(&held));
+    manager.report(START_MS, ENTRY);
+    let notified = messages::Watch {
         directives_position: held.position,
         ..fixtures::watch(ENTRY, START_MS, 0, &[])
     };
-    room.watch(START_MS, &told);
+    manager.watch(START_MS, &notified);
 
-    let (has_news, report) = (room.has_update(ENTRY), room.report(START_MS, ENTRY));
+    let (answers_at_once, report) = (manager.has_update(ENTRY), manager.report(START_MS, ENTRY));
 
-    assert!(!has_news);
+    assert!(!answers_at_once);
     assert_eq!(report.holder.as_deref(), Some(HOLDER));
 }
 
-/// Guards against tasks that start in a zone that is out while the queues are on their way.
+/// Guards against tasks that start in a zone that is out before the new queues have arrived.
 #[test]
-fn a_zone_that_is_out_holds_before_the_configuration_is_here() {
+fn zone_out_takes_effect_before_the_configuration_arrives() {
     let (mut entry, key) = entry();
     entry.update_directives(fixtures::directives(3));
-    let news = messages::Report {
+    let with_notice = messages::Report {
         notice: Some(fixtures::notice(9, "bento")),
         ..fixtures::report(1, 0, &[])
     };
-    entry.report_received(START_MS, key, news);
+    entry.report_received(START_MS, key, with_notice);
 
     let actions = entry.submit(
         START_MS,
@@ -161,49 +164,52 @@
     assert!(actions.is_empty(), "{actions:?}");
 }
 
-/// Guards against an entry that the store turns away and that keeps an old configuration.
+/// Guards against an entry that keeps an old configuration because the store refuses it.
 #[test]
-fn an_entry_asks_a_holder_once_the_store_has_had_its_time() {
+fn entry_fetches_from_a_holder_if_the_store_does_not_deliver_in_time() {
     let (mut entry, key) = entry();
     entry.update_directives(fixtures::directives(3));
-    entry.report_received(START_MS, key, report_of_news(9));
+    entry.report_received(START_MS, key, report_with_notice(9));
 
     let first = entry.tick(START_MS);
-    let early = entry.tick(START_MS + PATIENCE_MS - 1);
-    let due = entry.tick(START_MS + PATIENCE_MS);
-    let asked = entry.tick(START_MS + PATIENCE_MS + 1);
-
-    assert!(learned_from(&first).is_empty() && learned_from(&early).is_empty());
-    assert_eq!(learned_from(&due), [HOLDER]);
-    assert!(learned_from(&asked).is_empty(), "one question at a time");
+    let early = entry.tick(START_MS + STORE_WAIT_MS - 1);
+    let due = entry.tick(START_MS + STORE_WAIT_MS);
+    let asked = entry.tick(START_MS + STORE_WAIT_MS + 1);
+
+    assert!(fetched_from(&first).is_empty() && fetched_from(&early).is_empty());
+    assert_eq!(fetched_from(&due), [HOLDER]);
+    assert!(
+        fetched_from(&asked).is_empty(),
+        "more than one fetch pending"
+    );
 }
 
-/// Guards against fetching twice over a narrow link what the store brings anyway.
+/// Guards against a second transfer, over a low-bandwidth link, of what the store delivers.
 #[test]
-fn an_entry_that_the_store_tells_in_time_asks_nobody() {
+fn entry_does_not_fetch_if_the_store_delivers_in_time() {
     let (mut entry, key) = entry();
     entry.update_directives(fixtures::directives(3));
-    entry.report_received(START_MS, key, report_of_news(9));
+    entry.report_received(START_MS, key, report_with_notice(9));
     entry.tick(START_MS);
     entry.update_directives(fixtures::directives(9));
 
-    let actions = entry.tick(START_MS + PATIENCE_MS);
+    let actions = entry.tick(START_MS + STORE_WAIT_MS);
 
-    assert!(learned_from(&actions).is_empty(), "{actions:?}");
+    assert!(fetched_from(&actions).is_empty(), "{actions:?}");
 }
 
-/// Guards against an entry that starts with the store away and waits for nothing.
+/// Guards against an entry without any configuration that waits for an unreachable store.
 #[test]
-fn an_entry_without_any_configuration_asks_at_once() {
+fn entry_without_any_configuration_fetches_at_once() {
     let (mut entry, key) = entry();
-    entry.report_received(START_MS, key, report_of_news(9));
+    entry.report_received(START_MS, key, report_with_notice(9));
 
     let actions = entry.tick(START_MS);
 
-    assert_eq!(learned_from(&actions), [HOLDER]);
+    assert_eq!(fetched_from(&actions), [HOLDER]);
 }
 
-/// Guards against asking one holder for ever that has died or can't be reached.
+/// Guards against fetching over and over from one holder that is down or unreachable.
 #[test]
 fn holders_are_asked_in_turn() {
     let mut directives_fetch = directives_fetch::DirectivesFetch::default();
--- a/tests/unit/leased/dispatch.rs
+++ b/tests/unit/leased/dispatch.rs
@@ -1,4 +1,4 @@
-//! An entry's decisions about jobs under leases.
+//! Decisions of an entry about jobs under leases.
 
 use bulrushtiller::ids;
 use bulrushtiller::leased::dispatch;
@@ -10,13 +10,13 @@
 use super::fixtures::OTHER;
 use super::fixtures::START_MS;
 
-/// An entry that knows one empty runner of 16 cores.
+/// Creates an entry that knows one empty runner of 16 cores.
 fn entry() -> (dispatch::Dispatcher, runners::RunnerKey) {
     let mut entry = dispatch::Dispatcher::new(ENTRY, "bento".into());
     entry.update_directives(fixtures::directives(3));
     let found = entry.add_runners(START_MS - 10, &["10.0.0.1:7720".into()]);
     let [dispatch::Action::Watch(key)] = found[..] else {
-        panic!("one watch: {found:?}");
+        panic!("expected one watch, got {found:?}");
     };
     entry.next_watch(START_MS - 10, key);
     entry.report_received(START_MS, key, fixtures::report(1, 0, &[]));
@@ -55,7 +55,7 @@
     }
 }
 
-/// Submits a job of so many tasks of 60 ms and 1.6 cores.
+/// Submits a job of `tasks` tasks of 60 ms and 1.6 cores each.
 fn submit(
     entry: &mut dispatch::Dispatcher,
     now_ms: u64,
@@ -67,17 +67,17 @@
 }
 
 #[test]
-fn a_job_is_answered_when_its_last_task_is_done() {
+fn job_is_answered_when_its_last_task_completes() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 2)).remove(0);
     entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
     let first = end(1, &order.starts[0].id, messages::RunOutcome::Done);
     let second = end(2, &order.starts[1].id, messages::RunOutcome::Done);
-    let still_runs = std::slice::from_ref(&order.starts[1].id);
+    let still_running = std::slice::from_ref(&order.starts[1].id);
 
     let early = messages::Report {
         ends: vec![first.clone()],
-        ..fixtures::report(3, 1_600, still_runs)
+        ..fixtures::report(3, 1_600, still_running)
     };
     let early = entry.report_received(START_MS + 60, key, early);
     let done = entry.report_received(START_MS + 70, key, report_ends(4, vec![first, second]));
@@ -87,10 +87,10 @@
     assert_eq!(entry.open_jobs(), 0);
 }
 
-/// A job can never be done. Its tasks fail as often as the queue allows, its caller is told,
-/// and what still runs of it is taken back.
+/// Guards against a job that is retried for ever because its tasks always fail: after the allowed
+/// number of failed runs it fails, and its remaining runs are stopped.
 #[test]
-fn a_hopeless_job_fails_after_the_allowed_runs() {
+fn job_fails_after_the_allowed_number_of_failed_runs() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 2)).remove(0);
     entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 3_200));
@@ -112,17 +112,17 @@
         ends: vec![failed(2, 2)],
         ..fixtures::report(4, 1_600, std::slice::from_ref(&other))
     };
-    let over = entry.report_received(START_MS + 60, key, report);
+    let ended = entry.report_received(START_MS + 60, key, report);
 
     assert_eq!(orders(&again)[0].starts[0].id, fixtures::run_id(1, 0, 2));
-    assert_eq!(answers(&over), [dispatch::Outcome::Failed]);
-    assert_eq!(orders(&over)[0].stops, [other]);
+    assert_eq!(answers(&ended), [dispatch::Outcome::Failed]);
+    assert_eq!(orders(&ended)[0].stops, [other]);
 }
 
-/// A caller hangs up. Its tasks are stopped at once, and the next watch leaves them out,
-/// should the stop be lost on the way.
+/// Guards against runs that go on after their caller has disconnected. They are stopped at once,
+/// and the next watch leaves them out in case the stop is lost.
 #[test]
-fn what_a_caller_left_is_taken_back() {
+fn runs_of_a_disconnected_caller_are_stopped() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
     entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
@@ -134,10 +134,10 @@
     assert!(watch.is_some_and(|(_, watch)| watch.wanted.is_empty() && watch.ordered == 2));
 }
 
-/// A caller lost its connection and sends its job again to the same entry while the first
-/// try is still open there. One life goes on and answers both; no second one begins.
+/// Guards against a second set of runs when a caller loses its connection and submits its job
+/// again to the same entry while the first attempt is open there.
 #[test]
-fn a_second_try_joins_the_first() {
+fn repeated_submission_joins_the_open_job() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
     entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
@@ -152,10 +152,10 @@
     assert_eq!(answers(&done), [dispatch::Outcome::Completed]);
 }
 
-/// The answer to an order is lost. The run is not started elsewhere before the runner has
-/// said that it doesn't hold it, after the order's time: it may still be on its way.
+/// Guards against a task that runs twice because the answer to its order was lost. It starts
+/// elsewhere only after the order has expired and the runner reports that it doesn't hold the run.
 #[test]
-fn a_run_whose_order_was_lost_is_not_started_again_at_once() {
+fn run_of_an_unanswered_order_is_not_restarted_before_the_order_expires() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
     entry.order_lost(START_MS + 250, key, &order, false);
@@ -171,10 +171,10 @@
     assert_eq!(orders(&late)[0].starts[0].id, fixtures::run_id(1, 0, 2));
 }
 
-/// A runner's report was written before it took an order in and arrives after the order's
-/// answer. It doesn't hold the run, which is no proof that the run is lost.
+/// Guards against a run that counts as lost because a report without it, written before the
+/// runner accepted the order, arrives after the answer to the order.
 #[test]
-fn a_report_from_before_the_order_ends_nothing() {
+fn report_older_than_the_order_ends_no_run() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
     entry.order_answered(START_MS + 3, key, &order, fixtures::reply(5, 1_600));
@@ -184,11 +184,11 @@
     assert!(orders(&actions).is_empty());
 }
 
-/// Only the way back from a runner is cut: it hears the entry and would renew its runs for
-/// ever. The entry stops giving signs of life, waits until every lease is over, and only
-/// then starts the task elsewhere.
+/// Guards against a task that runs twice while only the link from its runner is broken. The
+/// runner still receives watches and would keep its runs, so the entry stops renewing the lease
+/// and starts the task elsewhere only after every lease has expired.
 #[test]
-fn a_runner_that_is_not_heard_gets_no_signs_of_life() {
+fn lease_at_a_silent_runner_is_not_renewed() {
     let (mut entry, key) = entry();
     let job = fixtures::job(1, 1, 1_600, 60);
     let actions = entry.submit(START_MS, job, &fixtures::queue(), Some(5_000), 1);
@@ -196,15 +196,15 @@
     entry.order_answered(START_MS + 2, key, &order, fixtures::reply(2, 1_600));
     let second = entry.add_runners(START_MS + 2, &["10.0.0.2:7720".into()]);
     let [dispatch::Action::Watch(other)] = second[..] else {
-        panic!("one watch: {second:?}");
+        panic!("expected one watch, got {second:?}");
     };
     let alive = entry.next_watch(START_MS + 400, key);
     let silent = entry.next_watch(START_MS + 500, key);
 
-    let gone_ms = START_MS + 400 + runners::RUN_EXPIRY_MS;
-    entry.report_received(gone_ms - 5, other, fixtures::report(1, 0, &[]));
-    let before = entry.tick(gone_ms);
-    let after = entry.tick(gone_ms + 1);
+    let expiry_ms = START_MS + 400 + runners::RUN_EXPIRY_MS;
+    entry.report_received(expiry_ms - 5, other, fixtures::report(1, 0, &[]));
+    let before = entry.tick(expiry_ms);
+    let after = entry.tick(expiry_ms + 1);
 
     assert!(alive.is_some_and(|(_, watch)| watch.alive_at_ms.is_some()));
     assert!(silent.is_some_and(|(_, watch)| watch.alive_at_ms.is_none()));
@@ -212,10 +212,10 @@
     assert_eq!(orders(&after)[0].starts[0].id, fixtures::run_id(1, 0, 2));
 }
 
-/// Room comes free in small pieces. A wide job that must start soonest takes each piece as
-/// it comes; left to wait for all at once, it would see smaller jobs take them one by one.
+/// Guards against a wide job that starves: if the most urgent job waited for all its capacity at
+/// once, smaller jobs would take each piece that becomes free.
 #[test]
-fn a_wide_job_takes_room_piece_by_piece_before_smaller_ones() {
+fn most_urgent_wide_job_takes_capacity_piece_by_piece() {
     let (mut entry, key) = entry();
     entry.report_received(START_MS + 1, key, fixtures::report(2, 16_000, &[]));
     submit(&mut entry, START_MS + 2, 1, 8);
@@ -246,9 +246,9 @@
     assert_eq!(jobs(&second).len(), 8);
 }
 
-/// No room comes in time. The caller is told that nothing ran, and when to come back.
+/// Guards against a caller that is left without a retry time when no capacity is free in time.
 #[test]
-fn a_job_without_room_is_refused_truthfully() {
+fn job_without_capacity_in_time_is_refused_as_not_run() {
     let (mut entry, key) = entry();
     entry.report_received(START_MS + 1, key, fixtures::report(2, 16_000, &[]));
     submit(&mut entry, START_MS + 2, 1, 2);
@@ -256,15 +256,16 @@
     let actions = entry.tick(START_MS + 1_600);
 
     let [dispatch::Outcome::NotRun { retry_after_ms }] = answers(&actions)[..] else {
-        panic!("refused: {actions:?}");
+        panic!("expected one refusal, got {actions:?}");
     };
     assert!(retry_after_ms >= 1_000);
     assert!(orders(&actions).is_empty());
 }
 
-/// Operators take the only availability zone with room out of service: nothing goes there.
+/// Guards against tasks placed in a zone that operators have taken out of service, even if only
+/// that zone has free capacity.
 #[test]
-fn nothing_is_placed_in_a_zone_that_is_out() {
+fn no_task_is_placed_in_a_zone_that_is_out() {
     let (mut entry, _key) = entry();
     let mut directives = fixtures::directives(4);
     directives.zones_out.push("bento".into());
@@ -276,7 +277,7 @@
     assert_eq!(entry.pending("checks"), 1);
 }
 
-/// An entry with three empty runners, of which it knows how two kinds of tasks fare.
+/// Creates an entry with three empty runners.
 fn entry_with_three() -> (dispatch::Dispatcher, Vec<runners::RunnerKey>) {
     let (mut entry, first) = entry();
     let found = entry.add_runners(START_MS, &["10.0.0.2:7720".into(), "10.0.0.3:7720".into()]);
@@ -289,19 +290,19 @@
     (entry, keys)
 }
 
-/// A backend server fails whatever it starts, and so is always empty. After some failures of
-/// tasks that do well elsewhere it gets nothing for a while, and jobs are answered again.
+/// Guards against a backend server that fails every task, is therefore always empty, and so
+/// attracts all work.
 #[test]
-fn a_server_that_fails_everything_gets_nothing_more() {
+fn server_that_fails_every_task_gets_no_more_work() {
     let (mut entry, keys) = entry_with_three();
     let bad = keys[0];
     let mut sequence = 10_u64;
-    let mut to_bad = Vec::new();
+    let mut sent_to_bad = Vec::new();
     for id in 0..60_u64 {
         let now_ms = START_MS + 100 + id * 100;
         sequence += 1;
         for (at, key) in keys.iter().enumerate() {
-            // At first the bad one is full, and the others show how such tasks fare.
+            // At first the bad server is full, and the others show how such tasks fare.
             let is_full = id < 10 && u64::try_from(at).is_ok_and(|at| at != 1 + id / 2 % 2);
             let used_milli = if is_full { 16_000 } else { 0 };
             entry.next_watch(now_ms, *key);
@@ -311,7 +312,7 @@
         queue.name = smol_str::format_smolstr!("kind-{}", id % 2);
         let job = fixtures::job(id, 1, 1_600, 60);
         let mut actions = entry.submit(now_ms, job, &queue, Some(1_500), id);
-        // A failed task goes on at once; each try is answered until the job has ended.
+        // A failed task is retried at once; each attempt is answered until the job has ended.
         for _ in 0..3 {
             let Some(dispatch::Action::Order(key, _, order)) = actions.first().cloned() else {
                 break;
@@ -323,28 +324,28 @@
             } else {
                 messages::RunOutcome::Done
             };
-            to_bad.extend((key == bad).then_some(id));
+            sent_to_bad.extend((key == bad).then_some(id));
             let ends = vec![end(sequence, &order.starts[0].id, how)];
             sequence += 1;
             actions = entry.report_received(now_ms + 50, key, report_ends(sequence, ends));
         }
     }
 
-    let late = to_bad.iter().filter(|id| **id >= 40).count();
-    assert!(late <= 4, "{to_bad:?}");
+    let late = sent_to_bad.iter().filter(|id| **id >= 40).count();
+    assert!(late <= 4, "{sent_to_bad:?}");
     assert!(entry.counts().completed >= 50);
 }
 
-/// An entry that has heard from ten runners of 16 cores, all empty.
-fn entry_with_ten(me: ids::Incarnation) -> dispatch::Dispatcher {
-    let mut entry = dispatch::Dispatcher::new(me, "bento".into());
+/// Creates an entry that knows ten empty runners of 16 cores.
+fn entry_with_ten(incarnation: ids::Incarnation) -> dispatch::Dispatcher {
+    let mut entry = dispatch::Dispatcher::new(incarnation, "bento".into());
     entry.update_directives(fixtures::directives(3));
     let addresses: Vec<_> = (1..=10)
         .map(|at| smol_str::format_smolstr!("10.0.0.{at}:7720"))
         .collect();
     for action in entry.add_runners(START_MS - 10, &addresses) {
         let dispatch::Action::Watch(key) = action else {
-            panic!("a watch: {action:?}");
+            panic!("expected a watch, got {action:?}");
         };
         entry.next_watch(START_MS - 10, key);
         entry.report_received(START_MS, key, fixtures::report(1, 0, &[]));
@@ -352,18 +353,17 @@
     entry
 }
 
-/// Two entries see the same ten runners and get a job of one task each, again and again
-/// between two words of the runners. Both fill the runner that looks best to both, and half
-/// of their orders are refused for room: the callers wait a way and back for nothing.
+/// Guards against two entries with the same view of ten runners that both fill the one that looks
+/// best, so that half of their orders are refused and callers wait a round trip for nothing.
 #[test]
-fn two_entries_with_the_same_view_fill_different_runners() {
-    let targets = |me| {
-        let mut entry = entry_with_ten(me);
-        let mut at = |id| match submit(&mut entry, START_MS + 1, id, 1).as_slice() {
+fn entries_with_the_same_view_fill_different_runners() {
+    let targets = |incarnation| {
+        let mut entry = entry_with_ten(incarnation);
+        let mut target = |id| match submit(&mut entry, START_MS + 1, id, 1).as_slice() {
             [dispatch::Action::Order(_, address, _)] => address.clone(),
-            other => panic!("one order: {other:?}"),
+            other => panic!("expected one order, got {other:?}"),
         };
-        (1..=20).map(&mut at).collect::<Vec<_>>()
+        (1..=20).map(&mut target).collect::<Vec<_>>()
     };
 
     let (one, other) = (targets(ENTRY), targets(OTHER));
@@ -379,11 +379,10 @@
     assert!(used(&one).is_disjoint(&used(&other)), "{one:?} {other:?}");
 }
 
-/// At 57 runners an entry with an eighth of a core spent a quarter of it on watches that had
-/// nothing to tell. It asks less often where it has no runs, and as often as its lease
-/// needs where it has.
+/// Guards against the cost of idle watches: with 57 runners watched at the short interval, an
+/// entry with an eighth of a core spends a quarter of it on watches without changes.
 #[test]
-fn a_runner_without_runs_is_asked_less_often() {
+fn runner_without_runs_is_watched_at_a_longer_interval() {
     let (mut entry, key) = entry();
 
     let idle = entry.next_watch(START_MS + 1, key).expect("a watch").1;
@@ -394,11 +393,10 @@
     assert_eq!(busy.wait_ms, dispatch::WATCH_WAIT_MS);
 }
 
-/// Room is short, and a job's order is refused because another entry's came first. Nothing of it
-/// ran. It used to go before all others from then on, and was held until its caller's deadline
-/// and then called given up; now it stays in line and is refused, truly, when it can't be in time.
+/// Guards against a job that counts as started although its only order was refused: it would go
+/// before all others, be held until its caller's deadline and be reported as possibly run.
 #[test]
-fn a_job_whose_orders_were_all_refused_is_refused_truly() {
+fn job_with_only_refused_orders_is_refused_as_not_run() {
     let (mut entry, key) = entry();
     let order = orders(&submit(&mut entry, START_MS, 1, 1)).remove(0);
     let refused = messages::OrderReply {
@@ -418,10 +416,10 @@
     );
 }
 
-/// Every backend server is full, and its line is not. A task waits there with the time that it
-/// has left; given back unstarted, and too late for another place, its caller is told the truth.
+/// Guards against a task that stays at its entry although a runner's wait queue has space, and
+/// against a wrong answer when the run comes back unstarted and too late for another runner.
 #[test]
-fn a_task_without_room_waits_at_a_runner() {
+fn task_without_free_capacity_waits_at_a_runner() {
     let (mut entry, key) = entry();
     let mut full = fixtures::report(2, 16_000, &[]);
     full.load.line = messages::WaitQueue::default();
@@ -432,14 +430,14 @@
     entry.order_answered(START_MS + 4, key, &order, fixtures::reply(3, 16_000));
     let ends = waiting.iter().zip(1..);
     let ends = ends.map(|(id, number)| end(number, id, messages::RunOutcome::NotStarted));
-    let given_back = entry.report_received(START_MS + 100, key, report_full(4, ends.collect()));
-    let over = entry.tick(START_MS + 100);
+    let returned = entry.report_received(START_MS + 100, key, report_full(4, ends.collect()));
+    let ended = entry.tick(START_MS + 100);
 
     // A quarter of 16 cores may wait: two of the three tasks.
     assert_eq!(waiting.len(), 2);
-    // 60 ms of work have an objective of 156 ms, so they may wait for 96.
+    // 60 ms of work have an objective of 156 ms, so the tasks may wait for 96 ms.
     assert_eq!(order.starts[0].wait.most_ms, 96);
-    let answered = [given_back, over].concat();
+    let answered = [returned, ended].concat();
     assert!(
         matches!(answers(&answered)[..], [dispatch::Outcome::NotRun { .. }]),
         "{answered:?}"
--- a/tests/unit/leased/jobs.rs
+++ b/tests/unit/leased/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, queues and directives before anything is decided about them.
+//! Validation of jobs, lookup of queues and replacement of directives.
 
 use bulrushtiller::leased::directives;
 use bulrushtiller::leased::job;
@@ -28,23 +28,20 @@
 #[case::no_step(vec![], job::JobError::Size)]
 #[case::empty_step(vec![step(0, &[])], job::JobError::Size)]
 #[case::too_many_tasks(vec![step(400, &[]), step(400, &[])], job::JobError::Size)]
-#[case::more_tasks_than_a_number_holds(vec![step(u32::MAX, &[]), step(2, &[])], job::JobError::Size)]
-#[case::waits_for_itself(vec![step(1, &[0])], job::JobError::Order)]
-#[case::waits_for_a_later_one(vec![step(1, &[1]), step(1, &[])], job::JobError::Order)]
-fn a_job_that_makes_no_sense_is_refused(
-    #[case] steps: Vec<job::RawStep>,
-    #[case] why: job::JobError,
-) {
+#[case::task_count_overflows(vec![step(u32::MAX, &[]), step(2, &[])], job::JobError::Size)]
+#[case::depends_on_itself(vec![step(1, &[0])], job::JobError::Order)]
+#[case::depends_on_a_later_step(vec![step(1, &[1]), step(1, &[])], job::JobError::Order)]
+fn invalid_steps_are_rejected(#[case] steps: Vec<job::RawStep>, #[case] expected: job::JobError) {
     let checked = job::Job::try_from(raw(steps));
 
-    assert_eq!(checked.err(), Some(why));
+    assert_eq!(checked.err(), Some(expected));
 }
 
 #[rstest::rstest]
 #[case::short("5c0e")]
 #[case::not_hexadecimal("5c0e7a21d94b36fz")]
 #[case::long("5c0e7a21d94b36f85c0e7a21d94b36f8")]
-fn an_id_that_is_none_is_refused(#[case] id: &str) {
+fn malformed_id_is_rejected(#[case] id: &str) {
     let job = job::RawJob {
         id: id.into(),
         ..raw(vec![step(1, &[])])
@@ -54,14 +51,14 @@
 }
 
 #[test]
-fn the_longest_chain_counts() {
+fn critical_path_is_the_longest_chain_of_steps() {
     let job = job::Job::try_from(raw(vec![step(1, &[]), step(4, &[0]), step(1, &[])]));
 
-    assert_eq!(job.expect("a good job").critical_path_ms(), 200);
+    assert_eq!(job.expect("a valid job").critical_path_ms(), 200);
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_matching_prefix_of_the_host_is_found() {
     let long = queues::Queue {
         name: "long".into(),
         prefix: "/checks/urgent/".into(),
@@ -78,16 +75,16 @@
     assert!(queues.find("school.example", "/else/ab").is_none());
 }
 
-/// A copy of the configuration comes from a process that was cut off for long, after a later
-/// one is in force. Taking it would serve a queue that was removed.
+/// Guards against serving a removed queue: a process that was partitioned for long may send an
+/// older configuration after a later one is in force.
 #[test]
-fn directives_never_go_back() {
+fn older_directives_are_rejected() {
     let mut in_force = directives::InForce::default();
     in_force.advance(fixtures::directives(9));
 
-    let is_taken = in_force.advance(fixtures::directives(8));
+    let is_applied = in_force.advance(fixtures::directives(8));
 
-    assert!(!is_taken);
+    assert!(!is_applied);
     assert_eq!(in_force.get().position, 9);
     assert_eq!(in_force.latest().get().position, 9);
     assert!(in_force.latest().notice_since(9).is_none());
--- a/tests/unit/leased/placement.rs
+++ b/tests/unit/leased/placement.rs
@@ -1,4 +1,4 @@
-//! Which runners a job's tasks go to.
+//! Choice of runners for the tasks of a job.
 
 use bulrushtiller::leased::dispatch::placement;
 use bulrushtiller::leased::dispatch::runners;
@@ -25,8 +25,8 @@
     free.iter().map(candidate).collect()
 }
 
-fn asks(count: usize, cpu_milli: u32) -> Vec<placement::Request<'static>> {
-    let ask = |task| placement::Request {
+fn requests(count: usize, cpu_milli: u32) -> Vec<placement::Request<'static>> {
+    let request = |task| placement::Request {
         task,
         step: 0,
         need: fixtures::cores(cpu_milli),
@@ -36,31 +36,31 @@
         may_wait: false,
         class: 1,
     };
-    (0..count).map(ask).collect()
+    (0..count).map(request).collect()
 }
 
 #[test]
-fn the_nearest_and_then_the_first_in_the_entrys_own_order_is_taken() {
+fn runner_in_the_own_zone_and_first_in_the_entrys_order_is_preferred() {
     let mut free = candidates(&[
         (9_000, false, "r1"),
         (8_000, true, "r2"),
         (2_000, true, "r3"),
     ]);
 
-    let placed = placement::place(&asks(2, 1_600), &mut free);
+    let placed = placement::place(&requests(2, 1_600), &mut free);
 
     let keys: Vec<_> = placed.iter().map(|target| target.runner).collect();
     assert_eq!(keys, [free[2].key, free[1].key]);
 }
 
 #[test]
-fn a_rack_near_the_data_goes_before_a_near_zone() {
+fn rack_near_the_data_is_preferred_to_the_own_zone() {
     let rack = SmolStr::new("r1");
     let mut free = candidates(&[(9_000, false, "r1"), (8_000, true, "r2")]);
-    let mut asks = asks(1, 1_600);
-    asks[0].rack = Some(&rack);
+    let mut requests = requests(1, 1_600);
+    requests[0].rack = Some(&rack);
 
-    let placed = placement::place(&asks, &mut free);
+    let placed = placement::place(&requests, &mut free);
 
     let target = placement::Target {
         task: 0,
@@ -71,65 +71,64 @@
 }
 
 #[test]
-fn a_label_and_the_most_on_one_server_are_kept() {
+fn label_and_maximum_per_server_are_respected() {
     let label = SmolStr::new("gpu");
     let mut free = candidates(&[(9_000, true, "gpu"), (9_000, true, "r2")]);
-    let mut asks = asks(3, 1_000);
-    for ask in &mut asks {
-        ask.label = Some(&label);
-        ask.max_per_server = 2;
+    let mut requests = requests(3, 1_000);
+    for request in &mut requests {
+        request.label = Some(&label);
+        request.max_per_server = 2;
     }
 
-    let placed = placement::place(&asks, &mut free);
+    let placed = placement::place(&requests, &mut free);
 
     assert_eq!(placed.len(), 2);
     assert!(placed.iter().all(|target| target.runner == free[0].key));
 }
 
 #[test]
-fn one_whose_tasks_fare_badly_comes_last_and_gets_no_more_than_allowed() {
+fn suspect_runner_comes_last_and_task_allowance_is_respected() {
     let mut free = candidates(&[(8_000, true, "r1"), (9_000, false, "r2")]);
     free[0].is_suspect = true;
     free[1].task_allowance = 2;
 
-    let placed = placement::place(&asks(3, 1_600), &mut free);
+    let placed = placement::place(&requests(3, 1_600), &mut free);
 
     let keys: Vec<_> = placed.iter().map(|target| target.runner).collect();
     assert_eq!(keys, [free[1].key, free[1].key, free[0].key]);
 }
 
-/// There is more work than room, and a report of three tasks finds two places. Begun in part,
-/// it holds both for an answer that comes too late for want of the third; left alone, they
-/// serve others.
+/// Guards against a partly started job under overload: two of its three tasks would hold capacity
+/// that could serve others, for an answer that is late for want of the third.
 #[test]
-fn a_job_that_finds_no_place_for_all_its_tasks_takes_none() {
+fn job_whose_tasks_do_not_all_fit_reserves_nothing() {
     let mut free = candidates(&[(1_600, true, "r1"), (0, true, "r2")]);
     free[1].queue_free_milli = [1_600; messages::URGENCY_CLASSES];
-    let mut asks = asks(3, 1_600);
-    for ask in &mut asks {
-        ask.may_wait = true;
+    let mut requests = requests(3, 1_600);
+    for request in &mut requests {
+        request.may_wait = true;
     }
 
-    let none = placement::place_all(&asks, &mut free);
-    let two = placement::place_all(&asks[..2], &mut free);
+    let none = placement::place_all(&requests, &mut free);
+    let two = placement::place_all(&requests[..2], &mut free);
 
     assert!(none.is_empty(), "{none:?}");
     assert_eq!(two.iter().filter(|target| target.waits).count(), 1);
     assert_eq!(two.len(), 2);
 }
 
-/// Every line is full of runs that have time in hand. To one that is more urgent they are not.
+/// Guards against less urgent runs that fill a wait queue and keep out a more urgent one.
 #[test]
-fn a_line_full_of_less_urgent_runs_has_a_place() {
+fn urgent_run_may_join_a_queue_full_of_less_urgent_runs() {
     let mut free = candidates(&[(0, true, "r1")]);
     free[0].queue_free_milli = [4_000, 1_600, 0, 0, 0];
-    let mut asks = asks(1, 1_600);
-    asks[0].may_wait = true;
+    let mut requests = requests(1, 1_600);
+    requests[0].may_wait = true;
 
-    let urgent = placement::place(&asks, &mut free.clone());
-    asks[0].class = 2;
-    let calm = placement::place(&asks, &mut free);
+    let urgent = placement::place(&requests, &mut free.clone());
+    requests[0].class = 2;
+    let less_urgent = placement::place(&requests, &mut free);
 
     assert_eq!(urgent.len(), 1);
-    assert!(calm.is_empty());
+    assert!(less_urgent.is_empty());
 }
--- a/tests/unit/leased/prior_wait.rs
+++ b/tests/unit/leased/prior_wait.rs
@@ -1,11 +1,11 @@
-//! What a caller's remaining patience tells.
+//! Estimates of a caller's prior wait from its timeout.
 
 use bulrushtiller::leased::dispatch::prior_wait;
 
 use super::fixtures;
 
 #[test]
-fn who_grants_the_limit_or_more_or_says_nothing_comes_for_the_first_time() {
+fn caller_without_a_short_timeout_has_not_waited() {
     let mut prior_wait = prior_wait::PriorWait::default();
     let queue = fixtures::queue();
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn who_has_less_time_than_the_limit_has_waited_the_rest() {
+fn caller_with_a_short_timeout_has_waited_the_difference_to_the_limit() {
     let mut prior_wait = prior_wait::PriorWait::default();
 
     let waited_ms = prior_wait.waited_ms(&fixtures::queue(), Some(400));
@@ -23,10 +23,10 @@
     assert_eq!(waited_ms, 1_100);
 }
 
-/// A queue's callers all grant less than its limit, which operators have set high. None of
-/// them has waited; called late, all would be served last, for ever.
+/// Guards against a queue whose jobs are always served last: if operators set its limit far above
+/// the timeouts of all its callers, each caller would seem to have waited.
 #[test]
-fn a_queue_whose_callers_are_all_in_a_hurry_has_no_late_ones() {
+fn habitually_short_timeouts_of_a_queue_are_not_prior_waits() {
     let mut prior_wait = prior_wait::PriorWait::default();
     let queue = fixtures::queue();
 
--- a/tests/unit/leased/queues.rs
+++ b/tests/unit/leased/queues.rs
@@ -1,4 +1,4 @@
-//! What operators say of the order among queues.
+//! Precedence and lookup of queues.
 
 use bulrushtiller::leased::queues;
 use rstest::rstest;
@@ -14,15 +14,15 @@
     }
 }
 
-/// Operators number their priorities as they like, and other services have numbers of their
-/// own: what counts is how many queues of the same service go first.
+/// Guards against a precedence taken from the configured numbers. Operators number priorities
+/// freely and for each service, so only the distinct priorities that come before count.
 #[rstest]
 #[case::first("taipa", 20, 0)]
 #[case::second("taipa", 30, 1)]
 #[case::equal("taipa", 30, 1)]
 #[case::third("taipa", 700, 2)]
 #[case::of_another_service("formulario", 700, 0)]
-fn precedence_counts_the_priorities_before(
+fn precedence_is_the_number_of_priorities_before(
     #[case] service: &str,
     #[case] priority: u32,
     #[case] before: u8,
@@ -37,18 +37,18 @@
 
     let queues = queues::Queues::new(&all, queues::Bounds::default());
 
-    let asked = queue("x", service, priority);
-    assert_eq!(queues.precedence(&asked), before);
+    let other = queue("x", service, priority);
+    assert_eq!(queues.precedence(&other), before);
 }
 
-/// Guards against a lookup that takes a queue whose prefix is shorter, or none.
+/// Guards against a lookup that returns a queue with a shorter prefix, or none.
 #[rstest]
 #[case::longest("/a/b/77", Some(("inner", "77")))]
 #[case::shorter("/a/x", Some(("outer", "x")))]
 #[case::whole_prefix("/a/b/", Some(("inner", "")))]
 #[case::too_short("/a", None)]
-#[case::not_cut_within_a_character("/a/é", Some(("outer", "é")))]
-fn a_path_is_found_by_its_longest_prefix(
+#[case::prefix_length_within_a_character("/a/é", Some(("outer", "é")))]
+fn path_is_matched_by_its_longest_prefix(
     #[case] path: &str,
     #[case] expected: Option<(&str, &str)>,
 ) {
--- a/tests/unit/leased/urgency.rs
+++ b/tests/unit/leased/urgency.rs
@@ -1,4 +1,4 @@
-//! Order and refusal among waiting jobs.
+//! Ranking and refusal of waiting jobs.
 
 use bulrushtiller::leased::dispatch::urgency;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_one_that_must_start_soonest_goes_first() {
+fn job_with_the_earliest_latest_start_goes_first() {
     let long = urgency::rank(&view(1_000, 900), 1_010);
     let short = urgency::rank(&view(1_005, 60), 1_010);
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn one_that_will_be_late_anyway_goes_after_those_in_time() {
+fn late_job_goes_after_jobs_in_time() {
     let late = urgency::rank(&view(1_000, 60), 1_200);
     let in_time = urgency::rank(&view(1_150, 900), 1_200);
 
@@ -31,21 +31,21 @@
 }
 
 #[test]
-fn one_that_has_started_goes_first_also_when_it_is_late() {
+fn started_job_goes_first_even_if_it_is_late() {
     let started = urgency::View {
         has_started: true,
         ..view(1_000, 900)
     };
-    let fresh = view(1_690, 60);
+    let recent = view(1_690, 60);
 
-    assert!(urgency::rank(&started, 1_400) < urgency::rank(&fresh, 1_400));
-    assert!(urgency::rank(&started, 1_700) < urgency::rank(&fresh, 1_700));
+    assert!(urgency::rank(&started, 1_400) < urgency::rank(&recent, 1_400));
+    assert!(urgency::rank(&started, 1_700) < urgency::rank(&recent, 1_700));
 }
 
-/// A long report came first and must start soon; a check whose caller stands waiting has just
-/// come. Operators put the checks first, also where the report has less time left.
+/// Guards against long jobs with little time left that delay short ones of the queue that
+/// operators put first.
 #[test]
-fn the_queue_that_operators_put_first_goes_first() {
+fn job_of_the_queue_with_the_highest_priority_goes_first() {
     let report = urgency::View {
         precedence: 1,
         ..view(1_000, 200)
@@ -55,45 +55,43 @@
     assert!(urgency::rank(&check, 1_110) < urgency::rank(&report, 1_110));
 }
 
-/// More comes than there is room for. Who can't be in time any more hears so at once, and
-/// doesn't take room from those behind it, who then would be late as well.
+/// Guards against a job that is held under overload although it cannot be in time: it would take
+/// capacity from the jobs behind it and make them late as well.
 #[test]
-fn one_that_can_not_be_in_time_is_refused() {
+fn job_that_cannot_be_in_time_is_infeasible() {
     let waiting = view(1_000, 200);
 
     assert!(!urgency::is_infeasible(&waiting, 1_180));
     assert!(urgency::is_infeasible(&waiting, 1_181));
 }
 
-/// Room is short, and each job starts in the last moment that its declared time leaves. Its
-/// order and its answer take their ways, tasks run a little longer than declared, and all
-/// are late by some milliseconds. One that is so near goes after those with time in hand.
+/// Guards against jobs that all start at the last moment under overload. Latency and tasks that
+/// run slightly longer than declared would make each of them late by some milliseconds.
 #[test]
-fn one_that_could_only_just_be_in_time_goes_after_those_with_time_in_hand() {
+fn job_without_margin_goes_after_jobs_with_margin() {
     let tight = view(1_000, 200);
-    let ample = view(1_100, 200);
+    let relaxed = view(1_100, 200);
 
-    assert!(urgency::rank(&tight, 1_135) < urgency::rank(&ample, 1_135));
-    assert!(urgency::rank(&ample, 1_136) < urgency::rank(&tight, 1_136));
+    assert!(urgency::rank(&tight, 1_135) < urgency::rank(&relaxed, 1_135));
+    assert!(urgency::rank(&relaxed, 1_136) < urgency::rank(&tight, 1_136));
 }
 
-/// A report's tasks wait in the lines of several runners while room comes free at others, and
-/// the slowest line makes it late. It stays at its entry, which sends it where room is; a check
-/// that comes first everywhere, and whatever has begun, wait where the room comes free.
+/// Guards against a less urgent job whose tasks wait at several runners while others have free
+/// capacity: the slowest wait queue would make it late.
 #[test]
-fn only_what_is_urgent_or_begun_waits_at_a_runner() {
+fn only_started_jobs_and_the_most_urgent_queue_wait_at_a_runner() {
     let check = view(1_000, 60);
     let report = urgency::View {
         precedence: 1,
         ..view(1_000, 200)
     };
-    let begun = urgency::View {
+    let running = urgency::View {
         has_started: true,
         ..report
     };
 
-    let most_ms = [check, report, begun].map(|view| urgency::wait(&view, 1_010).most_ms);
+    let most_ms = [check, report, running].map(|view| urgency::wait(&view, 1_010).most_ms);
 
-    // Until its end is due, not at all, and until its caller is gone.
+    // Until it cannot be in time, not at all, and until the caller stops waiting.
     assert_eq!(most_ms, [86, 0, 4_790]);
 }
--- a/tests/unit/leased/watching.rs
+++ b/tests/unit/leased/watching.rs
@@ -1,4 +1,4 @@
-//! Which runners an entry keeps a watch open at.
+//! Choice of the runners that an entry watches.
 
 use std::collections;
 
@@ -15,21 +15,21 @@
 use super::fixtures::ENTRY;
 use super::fixtures::START_MS;
 
-/// Availability zones, and how many entries and runners each has.
+/// Number of availability zones, and of entries and runners in each.
 const ZONES: usize = 6;
-const ENTRIES_A_ZONE: u64 = 9;
-const RUNNERS_A_ZONE: usize = 40;
+const ENTRIES_PER_ZONE: u64 = 9;
+const RUNNERS_PER_ZONE: usize = 40;
 
-/// Time for a watch that was opened to be answered, in milliseconds.
-const GRACE_MS: u64 = 300;
+/// Time after opening a watch during which its runner counts as accepting work, in milliseconds.
+const OPENING_GRACE_MS: u64 = 300;
 
-/// Silence after which a runner gets no work, in milliseconds.
+/// Silence after which a runner receives no more work, in milliseconds.
 const SILENT_MS: u64 = 450;
 
-/// Pause of an entry's ticks, in milliseconds.
+/// Interval between an entry's ticks, in milliseconds.
 const TICK_MS: u64 = 10;
 
-/// Moments at which an entry looks at the time.
+/// Returns the times of an entry's ticks.
 fn ticks(begin_ms: u64, end_ms: u64) -> impl Iterator<Item = u64> {
     (begin_ms..end_ms).filter(|now_ms| now_ms.is_multiple_of(TICK_MS))
 }
@@ -48,12 +48,12 @@
 
 fn members() -> Vec<ports::Member> {
     let zones = 0..ZONES;
-    let all = zones.flat_map(|zone| (0..RUNNERS_A_ZONE).map(move |at| member(zone, at)));
+    let all = zones.flat_map(|zone| (0..RUNNERS_PER_ZONE).map(move |at| member(zone, at)));
     all.collect()
 }
 
-fn entry(me: u64, zone_at: usize) -> dispatch::Dispatcher {
-    dispatch::Dispatcher::new(ids::Incarnation(me), zone(zone_at))
+fn entry(incarnation: u64, zone_at: usize) -> dispatch::Dispatcher {
+    dispatch::Dispatcher::new(ids::Incarnation(incarnation), zone(zone_at))
 }
 
 fn opened(actions: &[dispatch::Action]) -> Vec<runners::RunnerKey> {
@@ -64,7 +64,7 @@
     actions.iter().filter_map(key).collect()
 }
 
-/// Asks each of the runners, and gives where they are.
+/// Sends a watch to each of the runners and returns their addresses.
 fn addresses(
     entry: &mut dispatch::Dispatcher,
     keys: &[runners::RunnerKey],
@@ -85,7 +85,7 @@
     actions.iter().filter_map(order).collect()
 }
 
-/// The report of a runner at `address` of which so much is taken.
+/// Builds the report of a runner at `address` with `used_milli` in use.
 fn report(address: &str, sequence: u64, used_milli: u32) -> messages::Report {
     let zone = address.split('.').nth(2).expect("a zone in the address");
     let mut report = fixtures::report(sequence, used_milli, &[]);
@@ -93,16 +93,21 @@
     report
 }
 
-/// An entry that watches one runner of two in any case, and has heard it.
-fn entry_beside_two(used_milli: u32) -> (dispatch::Dispatcher, runners::RunnerKey) {
+/// Creates an entry that always watches one of two runners and has received its report.
+fn entry_with_two_runners(used_milli: u32) -> (dispatch::Dispatcher, runners::RunnerKey) {
     let mut entry = entry(1, 0).with_watch_set(1);
     let watched = opened(&entry.update_listing(START_MS, &[member(0, 0), member(0, 1)]));
     assert_eq!(watched.len(), 1);
-    hear(&mut entry, START_MS, watched[0], used_milli);
+    receive_report(&mut entry, START_MS, watched[0], used_milli);
     (entry, watched[0])
 }
 
-fn hear(entry: &mut dispatch::Dispatcher, now_ms: u64, key: runners::RunnerKey, used_milli: u32) {
+fn receive_report(
+    entry: &mut dispatch::Dispatcher,
+    now_ms: u64,
+    key: runners::RunnerKey,
+    used_milli: u32,
+) {
     let (address, _) = entry.next_watch(now_ms, key).expect("a watch");
     entry.report_received(now_ms, key, report(&address, now_ms, used_milli));
 }
@@ -112,9 +117,9 @@
     entry.submit(now_ms, job, &fixtures::queue(), Some(1_500), id)
 }
 
-/// Guards against a cost of an entry that grows with the number of runners.
+/// Guards against an entry whose cost grows with the number of runners.
 #[test]
-fn an_entry_watches_as_many_of_many_runners_as_of_few() {
+fn number_of_watches_is_independent_of_the_number_of_runners() {
     let few: Vec<_> = members().into_iter().take(60).collect();
 
     let of_few = opened(&entry(1, 0).update_listing(START_MS, &few));
@@ -124,9 +129,9 @@
     assert_eq!(of_many.len(), watching::DEFAULT_SET_SIZE);
 }
 
-/// Guards against less in sight where there are no more runners than the set holds.
+/// Guards against runners that are not watched although the set has space for all.
 #[test]
-fn where_there_are_few_runners_all_are_watched() {
+fn all_runners_are_watched_if_there_are_fewer_than_the_set_size() {
     let few: Vec<_> = members().into_iter().take(11).collect();
 
     let watched = opened(&entry(1, 0).update_listing(START_MS, &few));
@@ -134,16 +139,16 @@
     assert_eq!(watched.len(), 11);
 }
 
-/// Guards against runners that every entry watches, or none.
+/// Guards against runners that are watched by every entry, or by none.
 #[test]
-fn each_runner_is_in_about_as_many_sets_as_any_other() {
+fn runners_are_spread_evenly_over_the_sets() {
     let mut watched_by: collections::BTreeMap<SmolStr, usize> = collections::BTreeMap::new();
     for member in members() {
         watched_by.insert(member.address, 0);
     }
 
     for zone_at in 0..ZONES {
-        for at in 0..ENTRIES_A_ZONE {
+        for at in 0..ENTRIES_PER_ZONE {
             let mut entry = entry(1 + 100 * zone_at as u64 + at, zone_at);
             let watched = opened(&entry.update_listing(START_MS, &members()));
             for address in addresses(&mut entry, &watched) {
@@ -152,7 +157,7 @@
         }
     }
 
-    let entries = ZONES as u64 * ENTRIES_A_ZONE;
+    let entries = ZONES as u64 * ENTRIES_PER_ZONE;
     let mean = entries as f64 * watching::DEFAULT_SET_SIZE as f64 / members().len() as f64;
     let most = *watched_by.values().max().expect("runners") as f64;
     let least = *watched_by.values().min().expect("runners");
@@ -160,37 +165,37 @@
     assert!(least >= 1, "{least}");
 }
 
-/// Guards against sets that are drawn anew whenever a runner comes or goes.
+/// Guards against sets that change completely whenever a runner is added or removed.
 #[test]
-fn a_set_moves_little_when_a_runner_goes() {
+fn set_changes_little_when_a_runner_is_removed() {
     let mut before = entry(1, 0);
     let watched = opened(&before.update_listing(START_MS, &members()));
     let before = addresses(&mut before, &watched);
-    let gone = before.first().expect("a watched runner").clone();
-    let left: Vec<_> = members()
+    let removed = before.first().expect("a watched runner").clone();
+    let remaining: Vec<_> = members()
         .into_iter()
-        .filter(|member| member.address != gone)
+        .filter(|member| member.address != removed)
         .collect();
 
     let mut after = entry(1, 0);
-    let watched = opened(&after.update_listing(START_MS, &left));
+    let watched = opened(&after.update_listing(START_MS, &remaining));
 
     let after = addresses(&mut after, &watched);
-    // One far runner may change its place with a near one behind it.
+    // A runner of another zone may swap places with the next one of the own zone.
     assert!(
         after.difference(&before).count() <= 2,
         "{before:?} {after:?}"
     );
 }
 
-/// Guards against an entry without runners while its whole set is cut off, or its availability
-/// zone is lost.
+/// Guards against an entry without usable runners while its whole set is unreachable or its
+/// availability zone has failed.
 #[test]
-fn an_entry_whose_set_is_silent_watches_others_within_a_second() {
+fn entry_with_a_silent_set_watches_others_within_a_second() {
     let mut entry = entry(1, 0);
     let set = opened(&entry.update_listing(START_MS, &members()));
     for key in &set {
-        hear(&mut entry, START_MS, *key, 0);
+        receive_report(&mut entry, START_MS, *key, 0);
     }
 
     let mut later = Vec::new();
@@ -199,20 +204,20 @@
         later.extend(opened(&entry.tick(now_ms)));
     }
     for key in &later {
-        hear(&mut entry, end_ms, *key, 0);
+        receive_report(&mut entry, end_ms, *key, 0);
     }
 
     assert_eq!(later.len(), watching::DEFAULT_SET_SIZE);
     assert_eq!(entry.usable(end_ms), watching::DEFAULT_SET_SIZE);
 }
 
-/// Guards against a set that never comes to an end while nothing in it answers.
+/// Guards against an entry that finds no runner because it keeps trying the same silent ones.
 #[test]
-fn where_nobody_answers_all_are_tried_in_turn() {
+fn all_runners_are_tried_while_none_answers() {
     let mut entry = entry(1, 0);
     let mut tried = opened(&entry.update_listing(START_MS, &members()));
 
-    let end_ms = START_MS + 11 * GRACE_MS;
+    let end_ms = START_MS + 11 * OPENING_GRACE_MS;
     for now_ms in ticks(START_MS, end_ms) {
         tried.extend(opened(&entry.tick(now_ms)));
     }
@@ -220,13 +225,13 @@
     assert_eq!(tried.len(), members().len());
 }
 
-/// Guards against a caller that is refused beside a runner with room that is in no set.
+/// Guards against a job that is refused although a runner outside the set has free capacity.
 #[test]
-fn a_job_without_room_in_the_set_gets_it_elsewhere() {
-    let (mut entry, full) = entry_beside_two(16_000);
+fn job_that_does_not_fit_in_the_set_is_placed_outside_it() {
+    let (mut entry, full) = entry_with_two_runners(16_000);
 
     let asked = opened(&submit(&mut entry, START_MS, 1));
-    assert_eq!(asked.len(), 1, "nobody else was asked");
+    assert_eq!(asked.len(), 1, "expected one probe");
     assert_ne!(asked[0], full);
     let (address, _) = entry.next_watch(START_MS + 1, asked[0]).expect("a watch");
     let placed = orders(&entry.report_received(START_MS + 4, asked[0], report(&address, 1, 0)));
@@ -235,10 +240,10 @@
     assert_eq!(placed[0].0, asked[0]);
 }
 
-/// Guards against a pause before the last room in sight is taken, when others should be asked.
+/// Guards against probes that start only after the last free capacity in the set is taken.
 #[test]
-fn others_are_asked_before_the_last_room_in_the_set_is_taken() {
-    let (mut entry, watched) = entry_beside_two(0);
+fn others_are_probed_before_the_set_is_full() {
+    let (mut entry, watched) = entry_with_two_runners(0);
 
     let actions = submit(&mut entry, START_MS, 1);
 
@@ -246,9 +251,9 @@
     assert_eq!(opened(&actions).len(), 1);
 }
 
-/// Guards against probes that cost more than the callers while there is no room anywhere.
+/// Guards against probes that cost more than the callers while no runner has free capacity.
 #[test]
-fn while_nobody_has_room_ever_fewer_are_asked() {
+fn probes_become_rarer_while_no_runner_has_capacity() {
     let mut entry = entry(1, 0).with_watch_set(1);
     let mut asked = 0;
     entry.update_listing(START_MS, &members());
@@ -258,27 +263,29 @@
         let mut actions = submit(&mut entry, now_ms, at + 1);
         actions.extend(entry.tick(now_ms));
         for key in opened(&actions) {
-            hear(&mut entry, now_ms, key, 16_000);
+            receive_report(&mut entry, now_ms, key, 16_000);
             asked += 1;
         }
     }
 
-    // A second of shortage, with pauses that double from 10 to 320 ms.
+    // One second without capacity, with pauses that double from 10 to 320 ms.
     assert!((12..=60).contains(&asked), "{asked}");
 }
 
-/// Guards against watches that stay open for ever once a runner beyond the set was asked.
+/// Guards against watches that stay open for ever after a probe.
 #[test]
-fn a_runner_beyond_the_set_is_watched_only_while_it_is_used() {
-    let (mut entry, full) = entry_beside_two(16_000);
+fn runner_outside_the_set_is_watched_only_while_it_is_used() {
+    let (mut entry, full) = entry_with_two_runners(16_000);
     let other = opened(&submit(&mut entry, START_MS, 1))[0];
     let (address, _) = entry.next_watch(START_MS + 1, other).expect("a watch");
     let placed = orders(&entry.report_received(START_MS + 4, other, report(&address, 1, 0)));
     let run = placed[0].1.starts[0].id.clone();
 
-    // As long as the run isn't over its lease is renewed, however long that takes.
+    // The lease is renewed until the run has ended, however long that takes.
     let late_ms = START_MS + 2_000;
-    let (_, watch) = entry.next_watch(late_ms, other).expect("runs are watched");
+    let (_, watch) = entry
+        .next_watch(late_ms, other)
+        .expect("a watch for the run");
     assert!(watch.wanted.iter().eq([&run]));
     let ended = messages::Report {
         ends: vec![messages::End {
@@ -297,22 +304,22 @@
 
 /// Guards against work for a runner whose watch is closed: its lease would not be renewed.
 #[test]
-fn a_runner_without_a_watch_gets_no_work() {
-    let (mut entry, full) = entry_beside_two(16_000);
+fn runner_without_a_watch_receives_no_work() {
+    let (mut entry, full) = entry_with_two_runners(16_000);
     let other = opened(&submit(&mut entry, START_MS, 1))[0];
-    hear(&mut entry, START_MS + 1, other, 16_000);
+    receive_report(&mut entry, START_MS + 1, other, 16_000);
     assert!(entry.next_watch(START_MS + 600, other).is_none());
-    hear(&mut entry, START_MS + 600, full, 0);
+    receive_report(&mut entry, START_MS + 600, full, 0);
 
     let placed = orders(&submit(&mut entry, START_MS + 601, 2));
 
     assert!(placed.iter().all(|(key, _)| *key == full), "{placed:?}");
 }
 
-/// Guards against entries that hold up a runner which is leaving, and against one whose next
-/// life nobody asks.
+/// Guards against entries that keep a leaving runner from exiting, and against entries that never
+/// watch its next incarnation.
 #[test]
-fn a_runner_that_is_leaving_is_left_alone_for_a_while() {
+fn leaving_runner_is_not_watched_until_the_pause_is_over() {
     let mut entry = entry(1, 0);
     let key = opened(&entry.update_listing(START_MS, &[member(0, 0)]))[0];
     let (address, _) = entry.next_watch(START_MS, key).expect("a watch");
@@ -320,20 +327,20 @@
     leaving.load.readiness = messages::Readiness::Leaving;
     entry.report_received(START_MS + 2, key, leaving);
 
-    let on_the_way = entry.next_watch(START_MS + 3, key);
+    let while_leaving = entry.next_watch(START_MS + 3, key);
     let soon = opened(&entry.tick(START_MS + 200));
     let later = opened(&entry.tick(START_MS + 600));
-    let next_life = entry.next_watch(START_MS + 601, key);
+    let next_incarnation = entry.next_watch(START_MS + 601, key);
 
-    assert!(on_the_way.is_none());
+    assert!(while_leaving.is_none());
     assert!(soon.is_empty());
     assert_eq!(later, [key]);
-    assert!(next_life.is_some());
+    assert!(next_incarnation.is_some());
 }
 
-/// Guards against a runner that is back after a minute and never found again.
+/// Guards against a runner that is back after a minute and is never found again.
 #[test]
-fn a_runner_that_is_listed_is_known_however_long_it_is_silent() {
+fn listed_runner_is_kept_however_long_it_is_silent() {
     let mut entry = entry(1, 0);
     entry.update_listing(START_MS, &[member(0, 0)]);
 
@@ -342,9 +349,9 @@
     assert_eq!(entry.runners(), 1);
 }
 
-/// Guards against runners of instances that are gone for good, which are asked for ever.
+/// Guards against watches that go on for ever at runners of instances that are gone for good.
 #[test]
-fn a_runner_that_is_not_listed_any_more_is_forgotten() {
+fn silent_runner_that_is_no_longer_listed_is_removed() {
     let mut entry = entry(1, 0);
     entry.update_listing(START_MS, &[member(0, 0), member(0, 1)]);
     entry.update_listing(START_MS + 1_000, &[member(0, 0)]);
@@ -354,48 +361,51 @@
     assert_eq!(entry.runners(), 1);
 }
 
-/// Guards against ends that an entry passes over, and runs that are started again in vain,
-/// when it comes back to a runner that has forgotten it.
+/// Guards against ends that an entry skips, so that their runs are started again, when it returns
+/// to a runner that has removed it. The numbers of ends have to continue where they stopped.
 #[test]
-fn ends_are_numbered_on_for_an_entry_that_was_forgotten() {
-    let mut room = fixtures::ready_manager();
+fn ends_are_numbered_consecutively_for_an_entry_that_was_removed() {
+    let mut manager = fixtures::ready_manager();
     let first = fixtures::run_id(1, 0, 1);
-    room.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
-    room.order(
+    manager.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
+    manager.order(
         START_MS,
         fixtures::order(ENTRY, 1, START_MS, &[(first.clone(), 1_000)]),
     );
-    end_of(&mut room, START_MS + 100, 1, first);
-    let heard = room.report(START_MS + 101, ENTRY).ends;
-    assert_eq!(heard.len(), 1);
+    end_of(&mut manager, START_MS + 100, 1, first);
+    let first_ends = manager.report(START_MS + 101, ENTRY).ends;
+    assert_eq!(first_ends.len(), 1);
     let later_ms = START_MS + 60_000;
-    room.next_list(later_ms);
-    room.listed(later_ms, later_ms, fixtures::listing(65_000, &[]));
-    room.tick(later_ms);
+    manager.next_list(later_ms);
+    manager.listed(later_ms, later_ms, fixtures::listing(65_000, &[]));
+    manager.tick(later_ms);
 
     let back = messages::Watch {
-        acked: heard[0].number,
+        acked: first_ends[0].number,
         ..fixtures::watch(ENTRY, later_ms, 1, &[])
     };
-    room.watch(later_ms, &back);
+    manager.watch(later_ms, &back);
     let second = fixtures::run_id(2, 0, 1);
-    room.order(
+    manager.order(
         later_ms,
         fixtures::order(ENTRY, 2, later_ms, &[(second.clone(), 1_000)]),
     );
-    end_of(&mut room, later_ms + 100, 2, second.clone());
+    end_of(&mut manager, later_ms + 100, 2, second.clone());
 
-    let told = room.report(later_ms + 101, ENTRY).ends;
-    assert_eq!(told.len(), 1, "{told:?}");
-    assert_eq!(told[0].id, second);
-    assert!(told[0].number > heard[0].number, "{told:?}");
+    let second_ends = manager.report(later_ms + 101, ENTRY).ends;
+    assert_eq!(second_ends.len(), 1, "{second_ends:?}");
+    assert_eq!(second_ends[0].id, second);
+    assert!(
+        second_ends[0].number > first_ends[0].number,
+        "{second_ends:?}"
+    );
 }
 
-/// The backend server lists a run's end.
-fn end_of(room: &mut capacity::CapacityManager, now_ms: u64, number: u64, id: messages::RunId) {
-    room.start_answered(now_ms - 90, &id, ports::StartAnswer::Started);
-    room.next_list(now_ms - 50);
+/// Makes the backend server list the end of a run.
+fn end_of(manager: &mut capacity::CapacityManager, now_ms: u64, number: u64, id: messages::RunId) {
+    manager.start_answered(now_ms - 90, &id, ports::StartAnswer::Started);
+    manager.next_list(now_ms - 50);
     let clock_ms = 5_000 + now_ms - START_MS;
     let listing = fixtures::listing_with_end(clock_ms, number, id, messages::RunOutcome::Done);
-    room.listed(now_ms, now_ms - 50, listing);
+    manager.listed(now_ms, now_ms - 50, listing);
 }
