--- a/tests/unit/leased/play/mod.rs
+++ b/tests/unit/leased/simulation/mod.rs
@@ -1,10 +1,10 @@
 //! Load played through the decisions of entries and runners, judged by what callers get.
 
-mod letters;
-mod load;
-mod server;
+mod faults;
+mod network;
+mod runner;
 mod site;
-mod trouble;
+mod workload;
 mod world;
 
 use bulrushtiller::leased::dispatch;
@@ -51,7 +51,7 @@
 fn urgent_wide_jobs_are_in_time_under_more_work_than_room() {
     let mut world = world::World::new(site::Site::default());
 
-    let calls = world.play(&load::offered(1.2));
+    let calls = world.play(&workload::offered(1.2));
 
     let (checks, reports) = (Got::of(&calls, "checks"), Got::of(&calls, "reports"));
     // In time without precedence, displacing and whole beginnings: 0.54 of the checks and 0.82
@@ -69,7 +69,7 @@
 fn all_are_in_time_while_there_is_room() {
     let mut world = world::World::new(site::Site::default());
 
-    let calls = world.play(&load::offered(0.5));
+    let calls = world.play(&workload::offered(0.5));
 
     assert_nobody_refused(&calls, 0.97);
 }
@@ -81,7 +81,7 @@
 fn callers_who_come_again_don_t_make_others_late() {
     let mut world = world::World::new(site::Site::default());
 
-    let calls = world.play(&load::coming_again(0.8));
+    let calls = world.play(&workload::coming_again(0.8));
 
     let (checks, reports) = (Got::of(&calls, "checks"), Got::of(&calls, "reports"));
     let is_served = |call: &&world::Call| {
@@ -104,7 +104,7 @@
     };
     let mut world = world::World::new(site);
 
-    let calls = world.play(&load::offered(0.75));
+    let calls = world.play(&workload::offered(0.75));
 
     let (checks, reports) = (Got::of(&calls, "checks"), Got::of(&calls, "reports"));
     // In time with 50 ms for a start and 400 ms for a list: 0.08 of the checks and 0.26 of the
@@ -127,7 +127,7 @@
     };
     let mut world = world::World::new(site);
 
-    let calls = world.play(&load::uneven(&site, 0.75));
+    let calls = world.play(&workload::uneven(&site, 0.75));
 
     assert_nobody_refused(&calls, 0.95);
 }
@@ -143,7 +143,7 @@
     };
     let mut world = world::World::new(site);
 
-    let calls = world.play(&load::even(&site, 0.67));
+    let calls = world.play(&workload::even(&site, 0.67));
 
     let checks = Got::of(&calls, "checks");
     assert!(checks.share() >= 0.9, "{checks:?}");
@@ -165,8 +165,8 @@
     };
     let mut world = world::World::new(site);
 
-    let troubles = trouble::drawn(seed, &site);
-    let calls = world.play_under(&load::long(&site, 0.6), troubles);
+    let troubles = faults::drawn(seed, &site);
+    let calls = world.play_under(&workload::long(&site, 0.6), troubles);
 
     assert!(world.overlaps.is_empty(), "{:?}", world.overlaps);
     let has_answer = |call: &&world::Call| call.ended.is_some();
@@ -188,8 +188,8 @@
     };
     let mut world = world::World::new(site);
 
-    let troubles = trouble::drawn(seed, &site);
-    let calls = world.play_under(&load::even(&site, 0.6), troubles);
+    let troubles = faults::drawn(seed, &site);
+    let calls = world.play_under(&workload::even(&site, 0.6), troubles);
 
     let after = &calls[calls.len() - calls.len() / 10..];
     let is_served =
--- a/tests/unit/leased/play/letters.rs
+++ b/tests/unit/leased/simulation/network.rs
@@ -4,7 +4,7 @@
 use bulrushtiller::leased::dispatch::runners;
 use bulrushtiller::leased::messages;
 
-use super::trouble;
+use super::faults;
 
 /// A message under way; a watch has a number, which its report repeats.
 #[derive(Clone, Debug)]
@@ -17,10 +17,10 @@
 
 impl Message {
     /// The way that it takes.
-    pub const fn way(&self) -> trouble::Way {
+    pub const fn way(&self) -> faults::Way {
         match self {
-            Self::Order(_) | Self::Watch(..) => trouble::Way::ToRunner,
-            Self::Ordered(..) | Self::Reported(..) => trouble::Way::ToEntry,
+            Self::Order(_) | Self::Watch(..) => faults::Way::ToRunner,
+            Self::Ordered(..) | Self::Reported(..) => faults::Way::ToEntry,
         }
     }
 }
--- a/tests/unit/leased/play/world.rs
+++ b/tests/unit/leased/simulation/world.rs
@@ -15,11 +15,11 @@
 use rand_chacha::ChaCha8Rng;
 use smol_str::SmolStr;
 
-use super::letters;
-use super::load;
-use super::server;
+use super::faults;
+use super::network;
+use super::runner;
 use super::site;
-use super::trouble;
+use super::workload;
 use crate::leased::fixtures;
 use crate::leased::fixtures::START_MS;
 
@@ -71,15 +71,15 @@
     rng: ChaCha8Rng,
     site: site::Site,
     entries: Vec<Entry>,
-    runners: Vec<server::Runner>,
-    letters: collections::VecDeque<letters::Letter>,
+    runners: Vec<runner::Runner>,
+    letters: collections::VecDeque<network::Letter>,
     calls: Vec<Call>,
     run_ms: collections::HashMap<SmolStr, u64>,
-    timers: Vec<letters::Timer>,
+    timers: Vec<network::Timer>,
     last_watch: u64,
-    troubles: Vec<trouble::Trouble>,
+    troubles: Vec<faults::Trouble>,
     lives: u64,
-    arrivals: Vec<load::Arrival>,
+    arrivals: Vec<workload::Arrival>,
     /// Callers that will come again: when, which call, and by which entry.
     returning: Vec<(u64, usize, usize)>,
     /// Tasks that ran twice at once.
@@ -96,7 +96,7 @@
             entries: (0..site.entries)
                 .map(|at| new_entry(&site, at, 0))
                 .collect(),
-            runners: (0..site.runners).map(|at| server::new(&site, at)).collect(),
+            runners: (0..site.runners).map(|at| runner::new(&site, at)).collect(),
             letters: collections::VecDeque::new(),
             calls: Vec::new(),
             run_ms: collections::HashMap::new(),
@@ -117,15 +117,15 @@
     /// Plays a load to its end, under troubles.
     pub fn play_under(
         &mut self,
-        arrivals: &[load::Arrival],
-        troubles: Vec<trouble::Trouble>,
+        arrivals: &[workload::Arrival],
+        troubles: Vec<faults::Trouble>,
     ) -> Vec<Call> {
         self.troubles = troubles;
         self.play(arrivals)
     }
 
     /// Plays a load to its end.
-    pub fn play(&mut self, arrivals: &[load::Arrival]) -> Vec<Call> {
+    pub fn play(&mut self, arrivals: &[workload::Arrival]) -> Vec<Call> {
         self.run_until(START_MS + 500);
         let begin_ms = self.now_ms;
         for arrival in arrivals {
@@ -146,7 +146,7 @@
         self.act(at, actions);
     }
 
-    fn arrive(&mut self, arrival: &load::Arrival) {
+    fn arrive(&mut self, arrival: &workload::Arrival) {
         let waiter = self.calls.len() as u64;
         let due_ms = self.now_ms + arrival.run_ms * 16 / 10 + 60 - arrival.waited_ms;
         self.calls.push(Call {
@@ -160,7 +160,7 @@
         self.submit(arrival, waiter);
     }
 
-    fn submit(&mut self, arrival: &load::Arrival, waiter: u64) {
+    fn submit(&mut self, arrival: &workload::Arrival, waiter: u64) {
         let timeout_ms = Some(1_500 + 5 * arrival.run_ms - arrival.waited_ms);
         let job = arrival.job.clone();
         let entry = &mut self.entries[arrival.entry].dispatcher;
@@ -202,7 +202,7 @@
     fn bring_trouble(&mut self) {
         let now_ms = self.now_ms;
         for at in 0..self.troubles.len() {
-            if let trouble::Trouble::Loss { at_ms, entry } = self.troubles[at]
+            if let faults::Trouble::Loss { at_ms, entry } = self.troubles[at]
                 && START_MS + at_ms == now_ms
             {
                 self.lose(entry);
@@ -210,7 +210,7 @@
         }
     }
 
-    fn is_cut(&self, letter: &letters::Letter) -> bool {
+    fn is_cut(&self, letter: &network::Letter) -> bool {
         let way = letter.message.way();
         let troubles = self.troubles.iter();
         let mut cuts = troubles.filter(|trouble| trouble.cuts(letter.entry, letter.runner, way));
@@ -230,39 +230,39 @@
         }
     }
 
-    fn overdue(&mut self, timer: letters::Timer) {
+    fn overdue(&mut self, timer: network::Timer) {
         let (at, runner) = (timer.entry, timer.runner);
         let entry = &mut self.entries[at];
         match timer.overdue {
-            letters::Overdue::Watch(key, number) if entry.watches.get(&runner) == Some(&number) => {
+            network::Overdue::Watch(key, number) if entry.watches.get(&runner) == Some(&number) => {
                 self.ask(at, key);
             }
-            letters::Overdue::Order(order)
+            network::Overdue::Order(order)
                 if entry.unanswered.contains(&(runner, order.number)) =>
             {
                 self.wait_for(
                     at,
                     runner,
                     REPLY_LIMIT_MS,
-                    letters::Overdue::OrderAgain(order.clone()),
+                    network::Overdue::OrderAgain(order.clone()),
                 );
-                self.send(at, runner, letters::Message::Order(order));
+                self.send(at, runner, network::Message::Order(order));
             }
-            letters::Overdue::OrderAgain(order)
+            network::Overdue::OrderAgain(order)
                 if entry.unanswered.remove(&(runner, order.number)) =>
             {
                 let key = entry.keys[&runner];
                 let actions = entry.dispatcher.order_lost(self.now_ms, key, &order, false);
                 self.act(at, actions);
             }
-            letters::Overdue::Watch(..)
-            | letters::Overdue::Order(_)
-            | letters::Overdue::OrderAgain(_) => {}
+            network::Overdue::Watch(..)
+            | network::Overdue::Order(_)
+            | network::Overdue::OrderAgain(_) => {}
         }
     }
 
-    fn wait_for(&mut self, entry: usize, runner: usize, limit_ms: u64, overdue: letters::Overdue) {
-        self.timers.push(letters::Timer {
+    fn wait_for(&mut self, entry: usize, runner: usize, limit_ms: u64, overdue: network::Overdue) {
+        self.timers.push(network::Timer {
             at_ms: self.now_ms + limit_ms,
             entry,
             life: self.entries[entry].me,
@@ -302,8 +302,8 @@
         }
     }
 
-    fn send(&mut self, entry: usize, runner: usize, message: letters::Message) {
-        self.letters.push_back(letters::Letter {
+    fn send(&mut self, entry: usize, runner: usize, message: network::Message) {
+        self.letters.push_back(network::Letter {
             at_ms: self.now_ms + WAY_MS,
             entry,
             life: self.entries[entry].me,
@@ -321,29 +321,29 @@
             let Some(letter) = self.letters.pop_front() else {
                 return;
             };
-            let is_for_another_life = letter.message.way() == trouble::Way::ToEntry
+            let is_for_another_life = letter.message.way() == faults::Way::ToEntry
                 && letter.life != self.entries[letter.entry].me;
             if is_for_another_life || self.is_cut(&letter) {
                 continue;
             }
             let (entry, runner, now_ms) = (letter.entry, letter.runner, self.now_ms);
             match letter.message {
-                letters::Message::Order(order) => {
+                network::Message::Order(order) => {
                     let (reply, actions) = self.runners[runner].room.order(now_ms, order.clone());
                     self.call_backend(runner, actions);
                     // An answer to a life that is over goes nowhere.
                     if letter.life == self.entries[entry].me {
-                        self.send(entry, runner, letters::Message::Ordered(order, reply));
+                        self.send(entry, runner, network::Message::Ordered(order, reply));
                     }
                 }
-                letters::Message::Watch(watch, number) => {
+                network::Message::Watch(watch, number) => {
                     let until_ms = now_ms + watch.wait_ms;
                     let runner_held = &mut self.runners[runner];
                     let actions = runner_held.room.watch(now_ms, &watch);
                     runner_held.watches.insert(watch.entry, (until_ms, number));
                     self.call_backend(runner, actions);
                 }
-                letters::Message::Ordered(order, reply) => {
+                network::Message::Ordered(order, reply) => {
                     let held = &mut self.entries[entry];
                     if !held.unanswered.remove(&(runner, order.number)) {
                         continue;
@@ -353,7 +353,7 @@
                     let actions = dispatcher.order_answered(now_ms, key, &order, reply);
                     self.act(entry, actions);
                 }
-                letters::Message::Reported(report, number) => {
+                network::Message::Reported(report, number) => {
                     // A report that comes after its time limit is not heard.
                     if self.entries[entry].watches.get(&runner) != Some(&number) {
                         continue;
@@ -383,9 +383,9 @@
                 entry,
                 runner,
                 limit_ms,
-                letters::Overdue::Watch(key, number),
+                network::Overdue::Watch(key, number),
             );
-            self.send(entry, runner, letters::Message::Watch(watch, number));
+            self.send(entry, runner, network::Message::Watch(watch, number));
         }
     }
 
@@ -400,9 +400,9 @@
                         entry,
                         runner,
                         REPLY_LIMIT_MS,
-                        letters::Overdue::Order(order.clone()),
+                        network::Overdue::Order(order.clone()),
                     );
-                    self.send(entry, runner, letters::Message::Order(order));
+                    self.send(entry, runner, network::Message::Order(order));
                 }
                 dispatch::Action::Watch(key) => self.ask(entry, key),
                 dispatch::Action::Fetch(holder) => panic!("every entry was told; asked {holder}"),
@@ -466,7 +466,7 @@
         for entry in 0..self.site.entries {
             let me = self.entries[entry].me;
             if let Some((report, number)) = self.runners[at].report_due(now_ms, me) {
-                self.send(entry, at, letters::Message::Reported(report, number));
+                self.send(entry, at, network::Message::Reported(report, number));
             }
         }
     }
@@ -484,7 +484,7 @@
     let mut dispatcher =
         dispatch::Dispatcher::new(me, site.zone_of(at)).with_watch_set(site.watch_set);
     let mut directives = fixtures::directives(3);
-    directives.queues = [load::checks(), load::reports()].into();
+    directives.queues = [workload::checks(), workload::reports()].into();
     dispatcher.update_directives(directives);
     Entry {
         me,
