--- a/src/leased/directives.rs
+++ b/src/leased/directives.rs
@@ -1,9 +1,9 @@
-//! What operators have asked for, and how it spreads while the store is away for some.
+//! The operators' directives: queues, limits and availability zones out of service.
 //!
-//! Entries read the store; everybody else, and an entry that can't reach it, is told by
-//! the processes it talks to anyway where it stands, and an entry fetches the queues from
-//! one that has them. A state is replaced by a later one only, so nothing ever goes back
-//! within the life of a process.
+//! Entries read them from the store. Runners, and entries that can't reach the store, receive
+//! a short [`Notice`] of the latest version with the messages of the processes they talk to,
+//! and an entry fetches the queues from another entry that has them. Directives are replaced
+//! by later ones only, so a process never goes back to an older version.
 
 use std::sync;
 
@@ -13,39 +13,39 @@
 
 use crate::leased::queues;
 
-/// Everything that operators have in force, as of one position in the store.
+/// All directives, as of one position in the store.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Directives {
-    /// Position in the store up to which everything is contained; greater is later.
+    /// Position in the store up to which all changes are included; greater is later.
     pub position: u64,
-    /// The configuration's version, for logs; 0: there is none yet.
+    /// Version of the configuration, for logs; 0 if there is none yet.
     pub version: u64,
     /// The queues.
     pub queues: sync::Arc<[queues::Queue]>,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub bounds: queues::Bounds,
     /// Availability zones that operators have taken out of service.
     pub zones_out: Vec<SmolStr>,
 }
 
 impl Directives {
-    /// Whether there is a configuration.
+    /// Returns whether there is a configuration.
     pub const fn is_configured(&self) -> bool {
         self.version > 0
     }
 }
 
-/// Where operators' changes stand, without the queues.
+/// Version of the directives and the availability zones out of service, without the queues.
 ///
-/// Its size doesn't grow with what operators configure, so it goes along with messages
-/// whose time limits are those of a few hundred bytes. Entries fetch the rest.
+/// Its size does not grow with the configuration, so it can be sent with messages whose
+/// time-outs are meant for a few hundred bytes. Entries fetch the queues separately.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Notice {
-    /// Position in the store up to which everything is contained; greater is later.
+    /// Position in the store up to which all changes are included; greater is later.
     pub position: u64,
-    /// The configuration's version; 0: there is none yet.
+    /// Version of the configuration; 0 if there is none yet.
     pub version: u64,
     /// Availability zones that operators have taken out of service.
     pub zones_out: Vec<SmolStr>,
@@ -61,39 +61,40 @@
     }
 }
 
-/// The latest that a process was told.
+/// The latest notice that a process has received.
 #[derive(Clone, Debug, Default)]
 pub struct LatestNotice(Notice);
 
 impl LatestNotice {
-    /// What was told.
+    /// Returns the notice.
     pub const fn get(&self) -> &Notice {
         &self.0
     }
 
-    /// Whether operators have taken the availability zone out.
+    /// Returns whether operators have taken the availability zone out of service.
     pub fn is_zone_out(&self, zone: &str) -> bool {
         self.0.zones_out.iter().any(|out| out == zone)
     }
 
-    /// Takes a later notice; whether it was later.
+    /// Replaces the notice if the received one is later; returns whether it was.
     ///
-    /// Copies arrive by several ways, in any order, some from a process that was cut off
-    /// for long. Taking an older one would start tasks in an availability zone that is out.
-    pub fn update(&mut self, heard: &Notice) -> bool {
-        if heard.position <= self.0.position {
+    /// Copies arrive over several links and out of order, some from a process that was
+    /// partitioned for long. Accepting an older one would start tasks in an availability zone
+    /// that is out of service.
+    pub fn update(&mut self, received: &Notice) -> bool {
+        if received.position <= self.0.position {
             return false;
         }
-        if heard.version < self.0.version {
-            log::warn!(event = "directives.older", position = heard.position, version = heard.version, held = self.0.version; "passed over");
+        if received.version < self.0.version {
+            log::warn!(event = "directives.older", position = received.position, version = received.version, held = self.0.version; "ignoring a notice with a later position but an older configuration");
             return false;
         }
-        log::info!(event = "directives.noticed", position = heard.position, version = heard.version, zones_out:? = heard.zones_out; "noticed");
-        self.0 = heard.clone();
+        log::info!(event = "directives.noticed", position = received.position, version = received.version, zones_out:? = received.zones_out; "received notice of later directives");
+        self.0 = received.clone();
         true
     }
 
-    /// The notice for a process that was told only up to `position`.
+    /// Returns the notice if it is later than `position`, which the recipient already has.
     pub fn notice_since(&self, position: u64) -> Option<Notice> {
         (self.0.position > position).then(|| self.0.clone())
     }
@@ -107,37 +108,38 @@
 }
 
 impl InForce {
-    /// The latest whole directives; availability zones may have gone out since.
+    /// Returns the latest complete directives; [`Self::latest`] may list more availability
+    /// zones out of service.
     pub const fn get(&self) -> &sync::Arc<Directives> {
         &self.current
     }
 
-    /// The latest that was told.
+    /// Returns the latest notice.
     pub const fn latest(&self) -> &LatestNotice {
         &self.latest
     }
 
-    /// Whether a later configuration was told of than the one that is here.
+    /// Returns whether a notice announced a later configuration than the one in force.
     pub fn is_outdated(&self) -> bool {
         self.latest.get().version > self.current.version
     }
 
-    /// Takes a later notice; whether it was later.
-    pub fn update_notice(&mut self, heard: &Notice) -> bool {
-        self.latest.update(heard)
+    /// Replaces the latest notice if the received one is later; returns whether it was.
+    pub fn update_notice(&mut self, received: &Notice) -> bool {
+        self.latest.update(received)
     }
 
-    /// Takes later directives; whether they were later.
+    /// Replaces the directives if the received ones are later; returns whether they were.
     ///
-    /// An older configuration would route by a removed queue.
-    pub fn advance(&mut self, heard: Directives) -> bool {
-        self.latest.update(&Notice::from(&heard));
-        let held = &self.current;
-        if heard.position <= held.position || heard.version < held.version {
+    /// An older configuration would still route to a queue that has been removed.
+    pub fn advance(&mut self, received: Directives) -> bool {
+        self.latest.update(&Notice::from(&received));
+        let in_force = &self.current;
+        if received.position <= in_force.position || received.version < in_force.version {
             return false;
         }
-        log::info!(event = "directives.in_force", position = heard.position, version = heard.version, queues = heard.queues.len(); "in force");
-        self.current = sync::Arc::new(heard);
+        log::info!(event = "directives.in_force", position = received.position, version = received.version, queues = received.queues.len(); "applied new directives");
+        self.current = sync::Arc::new(received);
         true
     }
 }
--- a/src/leased/messages.rs
+++ b/src/leased/messages.rs
@@ -1,9 +1,9 @@
-//! What entries and runners say to each other about runs under leases.
+//! Messages between entries and runners about runs under leases.
 //!
-//! An entry always has one [`Watch`] open at each runner: it renews the entry's lease,
-//! says which runs it still wants, and is answered with a [`Report`] once there is news.
-//! [`Order`]s start runs. All times named `*_at_ms` and `*_until_ms` are on the runner's
-//! own clock, so no two clocks are ever compared.
+//! An entry keeps one [`Watch`] open at each runner. The watch renews the entry's lease and
+//! lists the runs that the entry still wants; the runner answers it with a [`Report`] as soon
+//! as there is an update. [`Order`]s start runs. All times named `*_at_ms` and `*_until_ms` are
+//! on the runner's clock, so that no two clocks are compared.
 
 use std::fmt;
 use std::sync;
@@ -16,31 +16,31 @@
 use crate::leased::directives;
 use crate::wire;
 
-/// Where runners answer watches.
+/// Path at which runners answer watches.
 pub const WATCH_PATH: &str = "/rmp/v1/leased/watch";
 
-/// Where runners take orders.
+/// Path at which runners accept orders.
 pub const ORDER_PATH: &str = "/rmp/v1/leased/order";
 
-/// Where an entry tells another one what it knows.
+/// Path at which an entry serves its runner addresses and directives to other entries.
 pub const KNOWN_PATH: &str = "/rmp/v1/leased/known";
 
-/// One run of one task.
+/// Identifies one run of one task.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct RunId {
     /// The job's id.
     pub job: SmolStr,
-    /// The step, counted from 0.
+    /// Index of the step, from 0.
     pub step: u16,
-    /// The task within its step, counted from 0.
+    /// Index of the task within its step, from 0.
     pub index: u32,
-    /// Counts the task's runs, from 1.
+    /// Number of the run of this task, from 1.
     pub run: u32,
 }
 
 impl RunId {
-    /// Whether both are runs of one task.
+    /// Returns whether both are runs of the same task.
     pub fn is_same_task(&self, other: &Self) -> bool {
         self.job == other.job && self.step == other.step && self.index == other.index
     }
@@ -52,76 +52,77 @@
     }
 }
 
-/// Whether a runner takes work.
+/// Whether a runner accepts orders.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Readiness {
-    /// It takes work.
+    /// The runner accepts orders.
     Ready,
-    /// It has not yet heard from its backend server, or that one still runs what a former
-    /// life of the runner started.
+    /// The runner has not received anything from its backend server yet, or the backend server
+    /// still runs tasks that a former incarnation of the runner started.
     #[default]
     Starting,
     /// The runner or its backend server is stopping.
     Leaving,
-    /// The backend server doesn't answer.
+    /// The backend server does not answer.
     Unreachable,
 }
 
-/// A runner's room and who it is.
+/// Capacity and description of a runner and its backend server.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Load {
-    /// Whether it takes work.
+    /// Whether the runner accepts orders.
     pub readiness: Readiness,
-    /// What the backend server has in all.
+    /// Total resources of the backend server.
     pub size: wire::Resources,
-    /// What is taken, by whichever entry.
+    /// Resources in use by the runs of all entries.
     pub used: wire::Resources,
-    /// What waits there for room, by whichever entry.
+    /// Runs of all entries that wait for capacity.
     pub line: WaitQueue,
     /// Service of the backend server.
     pub service: SmolStr,
     /// Availability zone of the backend server.
     pub zone: SmolStr,
-    /// Labels of the backend server, its rack among them.
+    /// Labels of the backend server, including its rack.
     pub labels: sync::Arc<[SmolStr]>,
 }
 
-/// Classes of urgency of what waits; see [`crate::leased::dispatch::urgency`].
+/// Number of urgency classes of waiting runs; see [`crate::leased::dispatch::urgency`].
 pub const URGENCY_CLASSES: usize = 5;
 
-/// What waits at a runner for room, by class of urgency.
+/// Processor time requested by the runs that wait at a runner, by urgency class.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct WaitQueue {
-    /// Thousandths of a core of each class, the most urgent first.
+    /// Thousandths of a core in each class, the most urgent class first.
     milli: [u32; URGENCY_CLASSES],
 }
 
 impl WaitQueue {
-    /// A run joins.
+    /// Adds a run of `milli` thousandths of a core.
     pub fn add(&mut self, class: u8, milli: u32) {
         self.milli[Self::slot(class)] += milli;
     }
 
-    /// A run leaves.
+    /// Subtracts a run of `milli` thousandths of a core.
     pub fn subtract(&mut self, class: u8, milli: u32) {
-        let held = &mut self.milli[Self::slot(class)];
-        *held = held.saturating_sub(milli);
+        let class_milli = &mut self.milli[Self::slot(class)];
+        *class_milli = class_milli.saturating_sub(milli);
     }
 
-    /// Thousandths of a core that wait in this class and in those before it.
+    /// Returns the thousandths of a core that wait in this class and in more urgent ones.
     pub fn milli_up_to(&self, class: u8) -> u32 {
         self.milli[..=Self::slot(class)].iter().sum()
     }
 
-    /// Thousandths of a core that wait in all.
+    /// Returns the thousandths of a core that wait in all classes.
     pub fn total_milli(&self) -> u32 {
         self.milli.iter().sum()
     }
 
-    /// Another process names the class; one that isn't known goes last.
+    /// Returns the index of a class; the class is set by another process, and an unknown one
+    /// counts as the least urgent.
     fn slot(class: u8) -> usize {
         usize::from(class).min(URGENCY_CLASSES - 1)
     }
@@ -131,187 +132,188 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum RunOutcome {
-    /// It did its work.
+    /// The run completed.
     Done,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped, or its lease lapsed; it runs no more.
+    /// The run was stopped, or its lease expired; it is no longer running.
     Stopped,
-    /// It never started and never will.
+    /// The run did not start and never will.
     NotStarted,
 }
 
-/// The end of a run, numbered for each entry so that none is missed or counted twice.
+/// The end of a run, numbered per entry so that each is counted exactly once.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct End {
-    /// Counts from 1.
+    /// Sequence number, from 1.
     pub number: u64,
     /// The run.
     pub id: RunId,
-    /// How it ended.
+    /// How the run ended.
     pub how: RunOutcome,
-    /// How long it ran, in milliseconds; 0 if it never started.
+    /// Run time in milliseconds; 0 if the run never started.
     pub ran_ms: u64,
 }
 
-/// An entry's question, kept open at a runner until there is news.
+/// A long poll of an entry, which the runner answers when there is an update.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Watch {
     /// Always [`wire::VERSION`].
     pub version: u32,
-    /// The entry's life.
+    /// Incarnation of the entry.
     pub entry: ids::Incarnation,
-    /// The runner's life that is meant; absent at the first contact.
+    /// Expected incarnation of the runner; absent at the first contact.
     pub runner: Option<ids::Incarnation>,
-    /// A moment on the runner's clock at which the entry lived; absent at the first
-    /// contact. Never later than the truth: the last reading heard, plus the time since.
+    /// Time on the runner's clock at which the entry was alive; absent at the first contact.
+    ///
+    /// It is the last reading received plus the time since, so it is never too late.
     pub alive_at_ms: Option<u64>,
-    /// Ends up to this number have arrived.
+    /// Number of the last [`End`] received.
     pub acked: u64,
-    /// The last order that was sent before this.
+    /// Number of the last order sent before this watch.
     pub ordered: u64,
-    /// Runs that the entry wants to go on, of all that it ordered.
+    /// Runs that should continue, of all that the entry has ordered.
     pub wanted: Vec<RunId>,
-    /// Whether to answer as soon as there is more room.
+    /// Whether to answer as soon as more capacity is free.
     pub wants_room: bool,
-    /// Longest wait for news, in milliseconds.
+    /// Longest wait for an update, in milliseconds.
     pub wait_ms: u64,
-    /// Where other entries reach this one; absent: nowhere.
+    /// Address of the entry for other entries; absent if it has none.
     #[serde(default)]
     pub address: Option<SmolStr>,
-    /// Position up to which the entry was told what operators ask for.
+    /// Position of the latest directives that the entry has been notified of.
     pub directives_position: u64,
-    /// Version of the configuration that the entry has whole; 0: none.
+    /// Version of the complete configuration at the entry; 0 if there is none.
     #[serde(default)]
     pub configuration: u64,
-    /// Where operators' changes stand, if the runner knew less when last heard.
+    /// The latest notice, if the runner last reported an older one.
     #[serde(default)]
     pub notice: Option<directives::Notice>,
 }
 
-/// A runner's news for one entry.
+/// A runner's answer to the watch of one entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
     /// Always [`wire::VERSION`].
     pub version: u32,
-    /// The runner's life.
+    /// Incarnation of the runner.
     pub runner: ids::Incarnation,
-    /// The runner's clock as this was written.
+    /// The runner's clock when the report was written.
     pub clock_ms: u64,
-    /// Grows with each message of this life.
+    /// Sequence number of the message, increasing within an incarnation.
     pub sequence: u64,
-    /// Its room.
+    /// Capacity of the runner.
     pub load: Load,
-    /// The entry's runs that the runner holds.
+    /// Runs of the entry that the runner holds.
     pub runs: Vec<RunId>,
-    /// Of those, the ones that wait for room.
+    /// Those of `runs` that wait for capacity.
     pub waiting: Vec<RunId>,
-    /// Ends that were not acknowledged yet.
+    /// Ends that the entry has not acknowledged yet.
     pub ends: Vec<End>,
-    /// Position up to which the runner was told what operators ask for.
+    /// Position of the latest directives that the runner has been notified of.
     pub directives_position: u64,
-    /// Where operators' changes stand, if the entry lacks something.
+    /// The latest notice, if the entry has an older one.
     #[serde(default)]
     pub notice: Option<directives::Notice>,
-    /// An entry that has the configuration whole, if the one that asks lacks it.
+    /// Address of an entry that has the complete configuration, if the watching entry does not.
     #[serde(default)]
     pub holder: Option<SmolStr>,
 }
 
-/// One run to start.
+/// A run to start.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Start {
     /// The run.
     pub id: RunId,
-    /// What the backend server is told.
+    /// Specification of the work for the backend server.
     pub spec: sync::Arc<str>,
-    /// What it takes.
+    /// Resources that the run requires.
     pub need: wire::Resources,
-    /// Whether and how long it may wait at the runner if there is no room.
+    /// Whether and how long the run may wait at the runner for capacity.
     pub wait: Wait,
 }
 
-/// How a run may wait at a runner. Times are spans, as no clocks are compared.
+/// How a run may wait at a runner. Times are durations, as no clocks are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Wait {
-    /// Longest wait, in milliseconds; 0: it starts at once or is refused.
+    /// Longest wait, in milliseconds; 0 if the run starts immediately or is refused.
     pub most_ms: u64,
-    /// Its job's class in the line; 0 goes first.
+    /// Urgency class of the job in the wait queue; 0 is the most urgent.
     pub class: u8,
-    /// Time left until it should start, in milliseconds.
+    /// Time left until the run should start, in milliseconds.
     pub start_within_ms: u64,
 }
 
 impl Wait {
-    /// The same urgency, without any wait.
+    /// Returns the same urgency without permission to wait.
     #[must_use]
     pub const fn without_waiting(self) -> Self {
         Self { most_ms: 0, ..self }
     }
 }
 
-/// Runs to start.
+/// An entry's order to start and stop runs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Order {
     /// Always [`wire::VERSION`].
     pub version: u32,
-    /// The entry's life.
+    /// Incarnation of the entry.
     pub entry: ids::Incarnation,
-    /// The runner's life that is meant.
+    /// Expected incarnation of the runner.
     pub runner: ids::Incarnation,
-    /// Counts the orders of this entry to this runner.
+    /// Sequence number of the order from this entry to this runner.
     pub number: u64,
-    /// A moment on the runner's clock at which the entry lived.
+    /// Time on the runner's clock at which the entry was alive.
     pub alive_at_ms: u64,
-    /// Moment on the runner's clock after which nothing of this may start.
+    /// Time on the runner's clock after which nothing in this order may start.
     pub valid_until_ms: u64,
     /// Runs to start.
     pub starts: Vec<Start>,
-    /// Runs to stop now; the next watch leaves them out as well, should this be lost.
+    /// Runs to stop now; the next watch omits them as well, in case this order is lost.
     pub stops: Vec<RunId>,
 }
 
-/// Why a run was not taken in.
+/// Why a runner refused a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub enum Refusal {
-    /// Not enough room.
+    /// Not enough free capacity.
     Room,
-    /// The order came too late, or for another life.
+    /// The order arrived too late, or was meant for another incarnation.
     Late,
-    /// The runner or its backend server takes no work now.
+    /// The runner or its backend server does not accept work at present.
     NotReady,
     /// The availability zone is out of service.
     ZoneOut,
-    /// The entry has taken it back already.
+    /// The entry has already withdrawn the run.
     Unwanted,
 }
 
-/// The answer to an order: what was not taken in; the rest is being started.
+/// A runner's reply to an order. Runs that it does not list as refused are being started.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct OrderReply {
     /// Always [`wire::VERSION`].
     pub version: u32,
-    /// The runner's life.
+    /// Incarnation of the runner.
     pub runner: ids::Incarnation,
-    /// The runner's clock as this was written.
+    /// The runner's clock when the reply was written.
     pub clock_ms: u64,
-    /// Grows with each message of this life.
+    /// Sequence number of the message, increasing within an incarnation.
     pub sequence: u64,
-    /// Its room.
+    /// Capacity of the runner.
     pub load: Load,
-    /// Runs that were not taken in and won't start.
+    /// Runs that were refused and will not start.
     pub refused: Vec<(RunId, Refusal)>,
 }
 
-/// What an entry knows that another one may lack, while the store can't be reached.
+/// What an entry sends to another one that can't reach the store.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Known {
@@ -319,6 +321,6 @@
     pub version: u32,
     /// Addresses of runners.
     pub runners: Vec<SmolStr>,
-    /// The directives in force; absent: none were heard.
+    /// The directives in force; absent if the entry has received none.
     pub directives: Option<sync::Arc<directives::Directives>>,
 }
--- a/src/leased/mod.rs
+++ b/src/leased/mod.rs
@@ -1,17 +1,17 @@
-//! Jobs whose tasks run under leases: a task may run again, but never twice at once.
+//! Jobs whose tasks run under leases: a task may run more than once, but never twice at a time.
 //!
-//! Nothing of such a job is stored. A caller that lost its answer sends the same job
-//! again, to any entry, and it starts anew; so every run of the first life has to be over
-//! by then. Three leases in a chain see to it, and no clocks are compared:
+//! No state of such a job is stored. A caller that loses its answer resends the job, to any
+//! entry, and the job starts from scratch; every run of the first submission must have ended
+//! by then. A chain of three leases guarantees this without comparing clocks:
 //!
-//! | lease | who holds it | ends when |
+//! | lease of | held by | expires |
 //! | --- | --- | --- |
-//! | of a caller | the entry, for one job | the connection breaks or the deadline passes |
-//! | of an entry | the runner, for all runs of one entry | [`capacity::OWNER_TIMEOUT_MS`] without a sign of life |
-//! | of a runner | the backend server, for all its runs | [`capacity::LEASE_MS`] without a renewal |
+//! | a caller | the entry, for one job | when the connection breaks or the deadline passes |
+//! | an entry | the runner, for all runs of that entry | [`capacity::OWNER_TIMEOUT_MS`] after the entry was last seen |
+//! | a runner | the backend server, for all its runs | [`capacity::LEASE_MS`] after the last renewal |
 //!
-//! `docs/DESIGN-PLATFORM.md` has the arithmetic. [`dispatch`] decides for an entry and
-//! [`room`] for a runner; both are free of network and clock.
+//! `docs/DESIGN-PLATFORM.md` derives the times. [`dispatch`] makes the decisions of an entry
+//! and [`capacity`] those of a runner; neither performs I/O nor reads a clock.
 
 pub mod capacity;
 pub mod directives;
--- a/src/leased/ports.rs
+++ b/src/leased/ports.rs
@@ -1,4 +1,4 @@
-//! Where runs under leases meet the outside: what an adapter has to provide.
+//! Interface between runs under leases and the platform adapter.
 
 use std::fmt;
 use std::sync;
@@ -9,168 +9,170 @@
 use crate::leased::messages;
 use crate::wire;
 
-/// One life of a backend server, as its heartbeats tell.
+/// Description of one incarnation of a backend server, from its heartbeats.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Announcement {
-    /// Which life it is.
+    /// The incarnation.
     pub incarnation: BackendIncarnation,
-    /// Counts the heartbeats of this life.
+    /// Number of the heartbeat within the incarnation.
     pub sequence: u64,
-    /// Whether it is stopping.
+    /// Whether the backend server is stopping.
     pub is_leaving: bool,
-    /// What it has.
+    /// Total resources.
     pub size: wire::Resources,
-    /// Its service.
+    /// Service of the backend server.
     pub service: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the backend server.
     pub zone: SmolStr,
-    /// Its labels.
+    /// Labels of the backend server.
     pub labels: sync::Arc<[SmolStr]>,
 }
 
-/// Tells the lives of a backend server apart.
+/// Identifies one incarnation of a backend server.
 #[derive(Clone, Debug, Default, Eq, Hash, PartialEq)]
 pub struct BackendIncarnation {
-    /// Its name, which a later life may have again.
+    /// Name of the backend server, which a later incarnation may reuse.
     pub name: SmolStr,
-    /// When it started, in milliseconds since 1970 by its own clock.
+    /// Start time in milliseconds since the Unix epoch, by the backend server's clock.
     pub started_at_ms: u64,
 }
 
-/// A run to be started at the backend server.
+/// Request to start a run at the backend server.
 #[derive(Clone, Debug)]
 pub struct StartCall {
-    /// The run and what to tell the backend server.
+    /// The run and its specification.
     pub start: messages::Start,
-    /// The life that is meant.
+    /// The incarnation that the call is meant for.
     pub incarnation: BackendIncarnation,
-    /// Keeps orders of former lives of the runner out.
+    /// Fencing token; the backend server refuses calls of former incarnations of the runner.
     pub fence: u64,
-    /// End of the lease, and of the order itself, on the backend server's clock.
+    /// End of the lease on the backend server's clock; the start itself is void after it, too.
     pub lease_until_ms: u64,
-    /// How long the answer is waited for, in milliseconds.
+    /// Time-out of the answer, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// What a backend server said to a start.
+/// A backend server's answer to a [`StartCall`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartAnswer {
-    /// It runs.
+    /// The run has started.
     Started,
-    /// It does not run, and this order won't start it.
+    /// The run has not started, and this call will not start it.
     Refused(StartRefusal),
-    /// Nothing was heard: it may run now or later.
+    /// No answer was received; the run may be running or may start later.
     Lost,
 }
 
-/// Why a backend server refused.
+/// Why a backend server refused to start a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum StartRefusal {
-    /// A later life of the runner has given orders.
+    /// The backend server has accepted a call with a greater fence.
     Fence,
-    /// The same run, or a later one of the task, was there before.
+    /// The same run, or a later run of the task, has been started before.
     OldRun,
-    /// The order or its lease was over.
+    /// The call or its lease had expired.
     Late,
-    /// No room.
+    /// Not enough free capacity.
     Room,
-    /// Another life of the backend server answered.
+    /// Another incarnation of the backend server answered.
     OtherLife,
-    /// It is unwell or can't read the order.
+    /// The backend server is unhealthy, or could not parse the call.
     Unwell,
 }
 
-/// A run to be stopped at the backend server.
+/// Request to stop a run at the backend server.
 #[derive(Clone, Debug)]
 pub struct StopCall {
     /// The run.
     pub id: messages::RunId,
-    /// The life that is meant.
+    /// The incarnation that the call is meant for.
     pub incarnation: BackendIncarnation,
-    /// Keeps orders of former lives of the runner out.
+    /// Fencing token; the backend server refuses calls of former incarnations of the runner.
     pub fence: u64,
-    /// How long the answer is waited for, in milliseconds.
+    /// Time-out of the answer, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// A question what runs at the backend server, which renews the lease.
+/// Long poll for the runs of the backend server, which also renews the lease.
 #[derive(Clone, Debug)]
 pub struct ListCall {
-    /// The life that is meant; unknown as long as none was heard of.
+    /// The incarnation that the call is meant for; absent until one has announced itself.
     pub incarnation: Option<BackendIncarnation>,
-    /// Keeps orders of former lives of the runner out.
+    /// Fencing token; the backend server refuses calls of former incarnations of the runner.
     pub fence: u64,
-    /// New end of the lease on the backend server's clock; absent: not renewed.
+    /// New end of the lease on the backend server's clock; absent if the lease is not renewed.
     pub lease_until_ms: Option<u64>,
-    /// Ends up to this number were noted.
+    /// Number of the last [`Ended`] received.
     pub acked: u64,
-    /// Longest wait for a new end, in milliseconds.
+    /// Longest wait for another run to end, in milliseconds.
     pub wait_ms: u64,
-    /// How long the answer is waited for beyond that, in milliseconds.
+    /// Time-out of the answer beyond `wait_ms`, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// What runs at a backend server, and what ended.
+/// Running and ended runs of a backend server.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// Which life says so: when it started.
+    /// Start time of the incarnation that answered; see [`BackendIncarnation`].
     pub started_at_ms: u64,
     /// The backend server's clock.
     pub clock_ms: u64,
-    /// What runs.
+    /// Running runs.
     pub running: Vec<Running>,
-    /// What ended and was not acknowledged.
+    /// Ended runs that have not been acknowledged.
     pub ended: Vec<Ended>,
 }
 
-/// One run that goes on.
+/// A running run.
 #[derive(Clone, Debug)]
 pub struct Running {
     /// The run.
     pub id: messages::RunId,
-    /// How much of its work is done, in percent.
+    /// Progress in percent.
     pub percent: u32,
 }
 
-/// One run that ended.
+/// An ended run.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// Counts the ends of this life of the backend server.
+    /// Sequence number within the incarnation of the backend server.
     pub number: u64,
     /// The run.
     pub id: messages::RunId,
-    /// How.
+    /// How the run ended.
     pub how: messages::RunOutcome,
 }
 
-/// What a backend server said to the question what runs.
+/// A backend server's answer to a [`ListCall`].
 #[derive(Clone, Debug)]
 pub enum ListAnswer {
-    /// Its list.
+    /// The listing.
     Listed(Listing),
-    /// A later life of the runner has given orders, or one whose fence is greater.
+    /// The backend server has accepted a call with a greater fence, from a later incarnation of
+    /// the runner or from one whose clock was ahead.
     Fenced,
-    /// Another life than the one meant.
+    /// Another incarnation than the expected one answered.
     OtherIncarnation,
     /// No connection could be made.
     NoConnection,
-    /// Nothing was heard.
+    /// No answer was received.
     Lost,
 }
 
 /// Calls to the backend server beside a runner.
 pub trait Backend: fmt::Debug + Send {
-    /// Starts a run; the answer goes to `done`.
-    fn start(&self, call: StartCall, done: actix::Recipient<StartAnswered>);
+    /// Starts a run and sends the answer to `reply_to`.
+    fn start(&self, call: StartCall, reply_to: actix::Recipient<StartAnswered>);
 
-    /// Stops a run; whether it was heard goes to `done`.
-    fn stop(&self, call: StopCall, done: actix::Recipient<StopAnswered>);
+    /// Stops a run and sends to `reply_to` whether the stop was acknowledged.
+    fn stop(&self, call: StopCall, reply_to: actix::Recipient<StopAnswered>);
 
-    /// Keeps asking what runs; each answer goes to `done`, which returns the next question.
-    fn poll_listings(&self, done: actix::Recipient<ListAnswered>);
+    /// Polls listings until `reply_to` is gone; `reply_to` receives each answer and returns the
+    /// next call.
+    fn poll_listings(&self, reply_to: actix::Recipient<ListAnswered>);
 }
 
-/// A start was answered.
+/// Result of a [`StartCall`].
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
@@ -181,76 +183,76 @@
     pub answer: StartAnswer,
 }
 
-/// A stop was answered, or not.
+/// Result of a [`StopCall`].
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct StopAnswered {
     /// The run.
     pub id: messages::RunId,
-    /// Whether the backend server has noted it.
+    /// Whether the backend server acknowledged the stop.
     pub is_acknowledged: bool,
 }
 
-/// The question what runs was answered; the result is the next question.
+/// Result of a [`ListCall`]; the handler returns the next call.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "ListCall")]
 pub struct ListAnswered {
-    /// When the question was sent, on the runner's clock; 0: none was sent yet.
+    /// When the call was sent, on the runner's clock; 0 before the first call.
     pub sent_at_ms: u64,
-    /// The answer; absent: none was sent yet.
+    /// The answer; absent before the first call.
     pub answer: Option<ListAnswer>,
 }
 
-/// A backend server announced itself; whether it was the latest word of the latest life.
+/// A heartbeat of the backend server; the handler returns whether it was the latest one.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "bool")]
 pub struct Announced(pub Announcement);
 
-/// What a former life of the runner knew of its backend server.
+/// The backend server's last announcement, stored by a former incarnation of the runner.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct BackendRestored(pub Announcement);
 
-/// A backend server is gone for good.
+/// The backend server of this name has stopped for good.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct BackendLeft(pub SmolStr);
 
-/// A runner that the store lists.
+/// A runner as listed in the store.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Member {
-    /// Where it answers entries.
+    /// Address of the runner for entries.
     pub address: SmolStr,
-    /// Its availability zone; empty: not told.
+    /// Availability zone of the runner; empty if unknown.
     pub zone: SmolStr,
-    /// Service of the backend server beside it; empty: not told.
+    /// Service of the backend server beside the runner; empty if unknown.
     pub service: SmolStr,
 }
 
-/// Every runner that the store lists.
+/// All runners listed in the store.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct RunnersListed(pub Vec<Member>);
 
-/// Addresses of runners that another entry knows.
+/// Addresses of runners received from another entry.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct RunnersDiscovered(pub Vec<SmolStr>);
 
-/// What operators have asked for, as the store or another process tells.
+/// Directives received from the store or from another entry.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct DirectivesReceived {
     /// The directives.
     pub directives: directives::Directives,
-    /// Who told: the store, or another process by its address.
+    /// Where they came from: the store, or the address of another entry.
     pub from: SmolStr,
 }
--- a/src/leased/process.rs
+++ b/src/leased/process.rs
@@ -1,4 +1,4 @@
-//! A process that serves jobs under leases: its control thread, its ports, its end.
+//! Runs a process that serves jobs under leases: control thread, HTTP listeners, shutdown.
 
 use std::fmt;
 use std::net;
@@ -15,13 +15,13 @@
 
 type Routes = sync::Arc<dyn Fn(&mut web::ServiceConfig) + Send + Sync>;
 
-/// A port with its pages.
+/// A listening address and its HTTP routes.
 pub struct Port {
     address: net::SocketAddr,
-    /// Whether the process can't do without it.
-    is_needed: bool,
+    /// Whether the process exits if the port can't be opened.
+    is_required: bool,
     bounds: daemon::Bounds,
-    pages: Routes,
+    routes: Routes,
 }
 
 impl fmt::Debug for Port {
@@ -32,39 +32,39 @@
 }
 
 impl Port {
-    /// A port that will be opened.
-    pub fn new<F>(address: net::SocketAddr, bounds: daemon::Bounds, pages: F) -> Self
+    /// Describes a port, which [`serve`] opens.
+    pub fn new<F>(address: net::SocketAddr, bounds: daemon::Bounds, routes: F) -> Self
     where
         F: Fn(&mut web::ServiceConfig) + Send + Sync + 'static,
     {
         Self {
             address,
-            is_needed: true,
+            is_required: true,
             bounds,
-            pages: sync::Arc::new(pages),
+            routes: sync::Arc::new(routes),
         }
     }
 
-    /// The same port, without which the process goes on if it can't be opened.
+    /// Makes the port optional: the process keeps running if it can't be opened.
     #[must_use]
     pub fn optional(self) -> Self {
         Self {
-            is_needed: false,
+            is_required: false,
             ..self
         }
     }
 }
 
-/// Starts a control actor on a thread of its own.
-pub fn start_control<A, F>(make: F) -> Result<actix::Addr<A>, daemon::DaemonError>
+/// Starts a control actor on its own thread.
+pub fn start_control<A, F>(create: F) -> Result<actix::Addr<A>, daemon::DaemonError>
 where
     A: actix::Actor<Context = actix::Context<A>>,
     F: FnOnce() -> A + Send + 'static,
 {
-    daemon::on_own_thread(make)
+    daemon::on_own_thread(create)
 }
 
-/// The port where metrics are served; a process serves its callers without it too.
+/// Returns the port that serves metrics; it is optional, as callers are served without it.
 pub fn metrics<A>(
     address: net::SocketAddr,
     bounds: daemon::Bounds,
@@ -73,24 +73,24 @@
 where
     A: actix::Actor<Context = actix::Context<A>> + actix::Handler<control::WantMetrics>,
 {
-    let want: actix::Recipient<control::WantMetrics> = control.clone().recipient();
+    let source: actix::Recipient<control::WantMetrics> = control.clone().recipient();
     Port::new(address, bounds, move |cfg| {
-        cfg.app_data(web::Data::new(want.clone()));
+        cfg.app_data(web::Data::new(source.clone()));
         cfg.route("/metrics", web::get().to(scrape));
     })
     .optional()
 }
 
 async fn scrape(
-    want: web::Data<actix::Recipient<control::WantMetrics>>,
+    source: web::Data<actix::Recipient<control::WantMetrics>>,
 ) -> actix_web::HttpResponse {
-    let Ok(samples) = want.send(control::WantMetrics).await else {
+    let Ok(samples) = source.send(control::WantMetrics).await else {
         return incoming::refuse(codes::Code::Leaving);
     };
     metrics::page(samples)
 }
 
-/// Opens the ports and serves until the process is told to stop and is drained.
+/// Opens the ports and serves until the process is asked to stop and has drained.
 pub async fn serve<A>(control: &actix::Addr<A>, ports: Vec<Port>) -> Result<(), daemon::DaemonError>
 where
     A: actix::Actor<Context = actix::Context<A>>
@@ -103,15 +103,15 @@
     for port in ports {
         let listener = match net::TcpListener::bind(port.address) {
             Ok(listener) => listener,
-            Err(e) if port.is_needed => return Err(e.into()),
+            Err(e) if port.is_required => return Err(e.into()),
             Err(e) => {
-                log::error!(event = "port.unserved", address:% = port.address; "{e}");
+                log::error!(event = "port.unserved", address:% = port.address; "serving without this port: {e}");
                 continue;
             }
         };
-        let pages = port.pages;
-        let pages = move |cfg: &mut web::ServiceConfig| pages(cfg);
-        servers.push(daemon::serve(listener, 1, port.bounds, &progress, pages)?);
+        let routes = port.routes;
+        let routes = move |cfg: &mut web::ServiceConfig| routes(cfg);
+        servers.push(daemon::serve(listener, 1, port.bounds, &progress, routes)?);
     }
     daemon::until_drained(servers, daemon::stops(control), progress).await
 }
--- a/src/leased/traffic.rs
+++ b/src/leased/traffic.rs
@@ -1,10 +1,10 @@
-//! What the conversations of a process cost, for its metrics.
+//! Message counters of a process, for its metrics.
 
 use std::sync::atomic;
 
 use crate::metrics;
 
-/// Messages of one kind.
+/// Counters for messages of one kind.
 #[derive(Debug, Default)]
 pub struct MessageCounters {
     messages: atomic::AtomicU64,
@@ -13,14 +13,14 @@
 }
 
 impl MessageCounters {
-    /// A message of so many bytes went out, or came in whole.
+    /// Counts a message that was sent, or received completely.
     pub fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, atomic::Ordering::Relaxed);
         self.bytes
             .fetch_add(bytes as u64, atomic::Ordering::Relaxed);
     }
 
-    /// A message had no answer in time, or did not come in whole.
+    /// Counts a message that was not answered in time, or received incompletely.
     pub fn add_lost(&self) {
         self.lost.fetch_add(1, atomic::Ordering::Relaxed);
     }
@@ -31,19 +31,19 @@
     }
 }
 
-/// All conversations of a process.
+/// Message counters of a process.
 #[derive(Debug, Default)]
 pub struct Traffic {
-    /// Watches that an entry sent.
+    /// Watches sent by an entry.
     pub watches: MessageCounters,
-    /// Reports that a runner sent.
+    /// Reports sent by a runner.
     pub reports: MessageCounters,
     /// Answers of the store.
     pub store: MessageCounters,
 }
 
 impl Traffic {
-    /// The metrics of an entry.
+    /// Returns the metrics of an entry.
     pub fn entry_samples(&self) -> Vec<metrics::Sample> {
         let [watches, watch_bytes, watches_lost] = self.watches.read();
         let mut samples = vec![
@@ -55,7 +55,7 @@
         samples
     }
 
-    /// The metrics of a runner.
+    /// Returns the metrics of a runner.
     pub fn runner_samples(&self) -> Vec<metrics::Sample> {
         let [reports, report_bytes, _] = self.reports.read();
         let mut samples = vec![
