--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -1,4 +1,4 @@
-//! The control thread of an entry that dispatches runs under leases.
+//! Control thread of an entry that dispatches runs under leases.
 
 mod calls;
 pub mod peer_state;
@@ -24,31 +24,31 @@
 use crate::metrics;
 use crate::outgoing;
 
-/// How often time is looked at, in milliseconds.
-const TICK_MS: u64 = 10;
+/// Interval of the timer, in milliseconds.
+const TICK_INTERVAL_MS: u64 = 10;
 
-/// How long a stopping entry serves on for callers whose connections are open, in
-/// milliseconds: the balancer takes two misses of a second each to look elsewhere.
-const LINGER_MS: u64 = 2_500;
+/// How long a stopping entry keeps serving callers on open connections, in milliseconds: the
+/// load balancer removes it after two failed checks, one second apart.
+const DRAIN_GRACE_MS: u64 = 2_500;
 
-/// What is in force, for the threads that serve callers.
+/// Snapshot of the control thread's state for the threads that serve callers.
 pub type SharedView = sync::Arc<sync::RwLock<View>>;
 
-/// What the threads that serve callers have to know without asking.
+/// State that the threads that serve callers read without a message to the control thread.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The queues; absent: no configuration was heard yet.
+    /// The queues; absent until a configuration has been received.
     pub queues: Option<sync::Arc<queues::Queues>>,
-    /// Whether there is a later configuration, which is not here yet.
+    /// Whether a later configuration exists that has not been received yet.
     pub is_outdated: bool,
-    /// Whether the balancer should send new callers.
+    /// Whether the load balancer should send new callers.
     pub is_ready: bool,
 }
 
 impl View {
     fn is_same(&self, other: &Self) -> bool {
         let are_same = match (&self.queues, &other.queues) {
-            (Some(held), Some(new)) => sync::Arc::ptr_eq(held, new),
+            (Some(old), Some(new)) => sync::Arc::ptr_eq(old, new),
             (None, None) => true,
             _ => false,
         };
@@ -56,52 +56,52 @@
     }
 }
 
-/// What the control thread is made of.
+/// Dependencies and parameters of the control thread.
 #[derive(Debug)]
 pub struct Parts {
-    /// The entry's life.
+    /// Incarnation of the entry.
     pub me: ids::Incarnation,
-    /// Where other entries reach it.
+    /// Address of the entry for other entries.
     pub address: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the entry.
     pub zone: SmolStr,
-    /// The clock.
+    /// Clock of the entry.
     pub clock: clock::Clock,
-    /// The threads that make calls.
+    /// Threads for outgoing calls.
     pub pool: sync::Arc<outgoing::Pool>,
-    /// For the threads that serve callers.
+    /// Snapshot for the threads that serve callers.
     pub view: SharedView,
-    /// What conversations cost.
+    /// Message counters.
     pub traffic: sync::Arc<traffic::Traffic>,
-    /// Longest time for a graceful stop.
+    /// Time limit of a graceful stop.
     pub grace: time::Duration,
-    /// Runners of a service that take work and are watched in any case.
+    /// Number of ready runners per service that are always watched.
     pub watch_set: usize,
 }
 
-/// The control thread's state.
+/// State of the control thread.
 #[derive(Debug)]
 pub struct Control {
     parts: Parts,
     dispatcher: dispatch::Dispatcher,
-    answers: collections::HashMap<jobs::Waiter, oneshot::Sender<dispatch::Outcome>>,
+    answer_txs: collections::HashMap<jobs::Waiter, oneshot::Sender<dispatch::Outcome>>,
     last_waiter: jobs::Waiter,
     leaving_ms: Option<u64>,
-    ticked_ms: Option<u64>,
+    last_tick_ms: Option<u64>,
     tick_late: metrics::Histogram,
 }
 
 impl Control {
-    /// An entry that has heard nothing yet.
+    /// Creates an entry that has not received anything yet.
     pub fn new(parts: Parts) -> Self {
         Self {
             dispatcher: dispatch::Dispatcher::new(parts.me, parts.zone.clone())
                 .with_watch_set(parts.watch_set),
             parts,
-            answers: collections::HashMap::new(),
+            answer_txs: collections::HashMap::new(),
             last_waiter: 0,
             leaving_ms: None,
-            ticked_ms: None,
+            last_tick_ms: None,
             tick_late: metrics::Histogram::default(),
         }
     }
@@ -110,36 +110,43 @@
         self.parts.clock.now_ms()
     }
 
-    /// Notes how late time is looked at: a process that is short of processor time shows it.
-    fn note_tick(&mut self, now_ms: u64) {
+    /// Records how late the timer fired, which shows a shortage of processor time.
+    fn record_tick(&mut self, now_ms: u64) {
         let due_ms = self
-            .ticked_ms
-            .map_or(now_ms, |before_ms| before_ms + TICK_MS);
+            .last_tick_ms
+            .map_or(now_ms, |previous_ms| previous_ms + TICK_INTERVAL_MS);
         self.tick_late.observe(now_ms.saturating_sub(due_ms));
-        self.ticked_ms = Some(now_ms);
+        self.last_tick_ms = Some(now_ms);
     }
 
     fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<dispatch::Action>) {
         for action in actions {
             match action {
                 dispatch::Action::Order(key, address, order) => self.send(cx, key, address, order),
-                dispatch::Action::Watch(key) => self.keep_watching(cx, key),
+                dispatch::Action::Watch(key) => self.start_watch(cx, key),
                 dispatch::Action::Answer(waiter, outcome) => self.answer(waiter, outcome),
-                dispatch::Action::Fetch(holder) => self.learn(cx, holder),
+                dispatch::Action::Fetch(holder) => self.fetch_known(cx, holder),
             }
         }
-        self.show();
+        self.publish_view();
     }
 
-    /// Shows the threads that serve callers what has changed.
-    fn show(&self) {
+    /// Updates the snapshot for the threads that serve callers, if it has changed.
+    fn publish_view(&self) {
         let new = self.view();
-        if self.parts.view.read().is_ok_and(|held| held.is_same(&new)) {
+        if self
+            .parts
+            .view
+            .read()
+            .is_ok_and(|snapshot| snapshot.is_same(&new))
+        {
             return;
         }
         match self.parts.view.write() {
-            Ok(mut held) => *held = new,
-            Err(e) => log::error!(event = "view.poisoned"; "{e}"),
+            Ok(mut snapshot) => *snapshot = new,
+            Err(e) => {
+                log::error!(event = "view.poisoned"; "the threads that serve callers keep the previous state: {e}")
+            }
         }
     }
 
@@ -154,11 +161,11 @@
     }
 
     fn answer(&mut self, waiter: jobs::Waiter, outcome: dispatch::Outcome) {
-        let Some(tx) = self.answers.remove(&waiter) else {
+        let Some(tx) = self.answer_txs.remove(&waiter) else {
             return;
         };
         if tx.send(outcome).is_err() {
-            log::info!(event = "answer.unheard", waiter = waiter, outcome:? = outcome; "caller gone");
+            log::info!(event = "answer.unheard", waiter = waiter, outcome:? = outcome; "answer not delivered: the connection of the caller is closed");
         }
     }
 }
@@ -167,20 +174,23 @@
     type Context = actix::Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
-        cx.set_mailbox_capacity(MAILBOX);
-        cx.run_interval(time::Duration::from_millis(TICK_MS), |actor, cx| {
-            let now_ms = actor.now_ms();
-            actor.note_tick(now_ms);
-            let actions = actor.dispatcher.tick(now_ms);
-            actor.act(cx, actions);
-        });
+        cx.set_mailbox_capacity(MAILBOX_CAPACITY);
+        cx.run_interval(
+            time::Duration::from_millis(TICK_INTERVAL_MS),
+            |actor, cx| {
+                let now_ms = actor.now_ms();
+                actor.record_tick(now_ms);
+                let actions = actor.dispatcher.tick(now_ms);
+                actor.act(cx, actions);
+            },
+        );
     }
 }
 
-/// Messages that may wait for the control thread.
-const MAILBOX: usize = 4_096;
+/// Capacity of the control thread's mailbox, in messages.
+const MAILBOX_CAPACITY: usize = 4_096;
 
-/// A caller hands a job in.
+/// A job from a caller.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Submitted")]
@@ -189,16 +199,16 @@
     pub job: job::Job,
     /// Its queue.
     pub queue: queues::Queue,
-    /// How long the caller waits at most, in milliseconds, if it says so.
+    /// Longest time that the caller waits, in milliseconds, if it gives one.
     pub timeout_ms: Option<u64>,
 }
 
-/// Where a caller's answer will come.
+/// Handle of a submitted job.
 #[derive(Debug)]
 pub struct Submitted {
-    /// The number of the wait.
+    /// Identifies this wait for the answer.
     pub waiter: jobs::Waiter,
-    /// The answer.
+    /// Yields the outcome of the job.
     pub answer: oneshot::Receiver<dispatch::Outcome>,
 }
 
@@ -210,7 +220,7 @@
         self.last_waiter += 1;
         let waiter = self.last_waiter;
         let (tx, answer) = oneshot::channel();
-        self.answers.insert(waiter, tx);
+        self.answer_txs.insert(waiter, tx);
         let Submit {
             job,
             queue,
@@ -224,14 +234,14 @@
     }
 }
 
-/// A caller that waited is gone.
+/// A waiting caller has closed its connection.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct CallerGone {
-    /// The job.
+    /// The job's id.
     pub id: SmolStr,
-    /// The number of the wait.
+    /// Identifies this wait for the answer.
     pub waiter: jobs::Waiter,
 }
 
@@ -239,14 +249,14 @@
     type Result = ();
 
     fn handle(&mut self, gone: CallerGone, cx: &mut Self::Context) {
-        self.answers.remove(&gone.waiter);
+        self.answer_txs.remove(&gone.waiter);
         let now_ms = self.now_ms();
         let actions = self.dispatcher.remove_waiter(now_ms, &gone.id, gone.waiter);
         self.act(cx, actions);
     }
 }
 
-/// A caller cancels a job; whether it was known.
+/// Cancels a job by its id; the result is whether the job was known.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "bool")]
@@ -264,7 +274,8 @@
     }
 }
 
-/// A caller asks about a job; whether something of it has started, if it is open.
+/// Queries a job by its id; the result is whether any of it has started, or nothing if it is not
+/// open.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Option<bool>")]
@@ -278,7 +289,7 @@
     }
 }
 
-/// A caller asks how many jobs of a queue have nothing started.
+/// Queries the number of jobs of a queue of which nothing has started.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "usize")]
@@ -323,16 +334,16 @@
 impl actix::Handler<ports::DirectivesReceived> for Control {
     type Result = ();
 
-    fn handle(&mut self, heard: ports::DirectivesReceived, _cx: &mut Self::Context) {
-        let ports::DirectivesReceived { directives, from } = heard;
+    fn handle(&mut self, received: ports::DirectivesReceived, _cx: &mut Self::Context) {
+        let ports::DirectivesReceived { directives, from } = received;
         let (position, version) = (directives.position, directives.version);
-        let is_news = self.dispatcher.update_directives(directives);
-        log::info!(event = "directives.heard", from = from.as_str(), position = position, version = version, news = is_news; "heard");
-        self.show();
+        let is_newer = self.dispatcher.update_directives(directives);
+        log::info!(event = "directives.heard", from = from.as_str(), position = position, version = version, news = is_newer; "received directives");
+        self.publish_view();
     }
 }
 
-/// Another entry asks for what this one knows.
+/// Request of another entry for the runner addresses and directives of this one.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "messages::Known")]
@@ -357,7 +368,7 @@
 
     fn handle(&mut self, _leave: control::Leave, _cx: &mut Self::Context) -> Self::Result {
         self.leaving_ms = Some(self.now_ms());
-        self.show();
+        self.publish_view();
         actix::MessageResult(self.parts.grace)
     }
 }
@@ -367,7 +378,7 @@
 
     fn handle(&mut self, _ask: control::IsDrained, _cx: &mut Self::Context) -> bool {
         let since_ms = self.leaving_ms.unwrap_or(0);
-        self.dispatcher.open_jobs() == 0 && self.now_ms() >= since_ms + LINGER_MS
+        self.dispatcher.open_jobs() == 0 && self.now_ms() >= since_ms + DRAIN_GRACE_MS
     }
 }
 
@@ -375,7 +386,7 @@
     type Result = ();
 
     fn handle(&mut self, _abandon: control::Abandon, _cx: &mut Self::Context) {
-        log::warn!(event = "entry.abandon", open = self.dispatcher.open_jobs(); "out of time with jobs open");
+        log::warn!(event = "entry.abandon", open = self.dispatcher.open_jobs(); "time limit of the graceful stop exceeded; exiting with open jobs");
     }
 }
 
--- a/src/leased/entry/calls.rs
+++ b/src/leased/entry/calls.rs
@@ -1,4 +1,4 @@
-//! An entry's calls to runners: orders, and the watch that is always open at each.
+//! Calls of an entry to runners: orders, and one watch that is kept open at each.
 
 use std::sync;
 use std::time;
@@ -13,18 +13,18 @@
 use crate::outgoing;
 use crate::wire;
 
-/// Time for a watch beyond its wait, and for an order: a lost packet is sent again within
+/// Time-out of an order, and of a watch beyond its wait: a lost packet is retransmitted within
 /// 200 ms.
-const REPLY_LIMIT: time::Duration = time::Duration::from_millis(250);
+const REPLY_TIMEOUT: time::Duration = time::Duration::from_millis(250);
 
-/// Pause before a runner that didn't answer is asked again.
+/// Pause before the next watch after one without an answer.
 const RETRY_PAUSE: time::Duration = time::Duration::from_millis(50);
 
-/// Pause for one that was silent for long.
+/// The same after more than [`MAX_SHORT_PAUSES`] watches in a row without an answer.
 const LONG_RETRY_PAUSE: time::Duration = time::Duration::from_millis(500);
 
-/// Watches without an answer after which the pauses are long.
-const FEW_FAILURES: u32 = 10;
+/// Number of watches in a row without an answer that are followed by the short pause.
+const MAX_SHORT_PAUSES: u32 = 10;
 
 impl entry::Control {
     pub(super) fn send(
@@ -36,43 +36,48 @@
     ) {
         let control = cx.address();
         self.parts.pool.run(move |client| async move {
-            let sent = deliver(&client, &address, &order).await;
-            control.do_send(OrderAnswered { key, order, sent });
+            let response = send_with_retry(&client, &address, &order).await;
+            control.do_send(OrderAnswered {
+                key,
+                order,
+                response,
+            });
         });
     }
 
-    pub(super) fn keep_watching(&self, cx: &actix::Context<Self>, key: runners::RunnerKey) {
+    pub(super) fn start_watch(&self, cx: &actix::Context<Self>, key: runners::RunnerKey) {
         let control = cx.address();
         let traffic = sync::Arc::clone(&self.parts.traffic);
         self.parts
             .pool
-            .run(move |client| watch(client, control, key, traffic));
+            .run(move |client| watch_loop(client, control, key, traffic));
     }
 }
 
-/// Sends an order, and once more on a new connection if nothing was heard.
+/// Sends an order, and resends it once on a new connection if no answer is received.
 ///
-/// A reset or silent connection may have swallowed the order or only its answer. Left at
-/// that, its runs are known to be over only once the order has expired, 600 ms later, which
-/// makes every job of them late; the runner takes an order that it has already as the same.
-async fn deliver(
+/// If a connection is reset or silent, either the order or only its answer may be lost. Without
+/// a second attempt, it would be unknown until the order has expired, 600 ms later, whether its
+/// runs are running, which makes all their jobs late. The runner recognises a repeated order by
+/// its number.
+async fn send_with_retry(
     client: &awc::Client,
     address: &str,
     order: &messages::Order,
 ) -> Result<messages::OrderReply, outgoing::CallError> {
     let path = messages::ORDER_PATH;
-    let why = match outgoing::post(client, address, path, order, REPLY_LIMIT).await {
+    let why = match outgoing::post(client, address, path, order, REPLY_TIMEOUT).await {
         Err(outgoing::CallError::Lost(why)) => why,
-        sent => return sent,
+        response => return response,
     };
-    log::info!(event = "order.again", runner = address, number = order.number, runs = order.starts.len(), why = why.as_str(); "no answer; sent again");
-    let again = outgoing::post_afresh(address, path, order, REPLY_LIMIT).await;
-    // That no second connection was made says nothing of the first.
-    again.map_err(|e| outgoing::CallError::Lost(format!("{why}; again: {e}")))
+    log::info!(event = "order.again", runner = address, number = order.number, runs = order.starts.len(), why = why.as_str(); "order not answered; resending on a new connection");
+    let second = outgoing::post_afresh(address, path, order, REPLY_TIMEOUT).await;
+    // Even if the second attempt was never sent, the first one may have arrived.
+    second.map_err(|e| outgoing::CallError::Lost(format!("{why}; second attempt: {e}")))
 }
 
-/// Keeps a watch open at a runner until it is forgotten.
-async fn watch(
+/// Keeps a watch open at a runner until the dispatcher closes it or removes the runner.
+async fn watch_loop(
     client: awc::Client,
     control: actix::Addr<entry::Control>,
     key: runners::RunnerKey,
@@ -80,10 +85,10 @@
 ) {
     let mut failures = 0;
     while let Ok(Some((address, watch))) = control.send(NextWatch(key)).await {
-        let limit = time::Duration::from_millis(watch.wait_ms) + REPLY_LIMIT;
+        let timeout = time::Duration::from_millis(watch.wait_ms) + REPLY_TIMEOUT;
         let path = messages::WATCH_PATH;
-        let is_fresh = failures > 0;
-        let client = if is_fresh {
+        let needs_new_connection = failures > 0;
+        let client = if needs_new_connection {
             outgoing::client()
         } else {
             client.clone()
@@ -91,25 +96,25 @@
         let body = match wire::encode(&watch) {
             Ok(body) => body,
             Err(e) => {
-                log::error!(event = "wire.encode_failed"; "{e}");
+                log::error!(event = "wire.encode_failed"; "stopped watching the runner: {e}");
                 return;
             }
         };
         let bytes = body.len();
         traffic.watches.add(bytes);
-        let sent = outgoing::post_encoded(&client, &address, path, body, limit).await;
-        match sent {
+        let response = outgoing::post_encoded(&client, &address, path, body, timeout).await;
+        match response {
             Ok(report) => {
                 failures = 0;
-                control.do_send(Reported(key, report));
+                control.do_send(ReportReceived(key, report));
             }
             Err(e) => {
                 failures += 1;
                 traffic.watches.add_lost();
                 if failures == 1 {
-                    log::warn!(event = "watch.lost", runner = address.as_str(), limit_ms = limit.as_millis(), bytes = bytes; "{e}");
+                    log::warn!(event = "watch.lost", runner = address.as_str(), limit_ms = timeout.as_millis(), bytes = bytes; "watch failed, retrying: {e}");
                 }
-                let is_long = failures > FEW_FAILURES;
+                let is_long = failures > MAX_SHORT_PAUSES;
                 tokio::time::sleep(if is_long {
                     LONG_RETRY_PAUSE
                 } else {
@@ -140,12 +145,12 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-struct Reported(runners::RunnerKey, messages::Report);
+struct ReportReceived(runners::RunnerKey, messages::Report);
 
-impl actix::Handler<Reported> for entry::Control {
+impl actix::Handler<ReportReceived> for entry::Control {
     type Result = ();
 
-    fn handle(&mut self, Reported(key, report): Reported, cx: &mut Self::Context) {
+    fn handle(&mut self, ReportReceived(key, report): ReportReceived, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         let actions = self.dispatcher.report_received(now_ms, key, report);
         self.act(cx, actions);
@@ -158,22 +163,23 @@
 struct OrderAnswered {
     key: runners::RunnerKey,
     order: messages::Order,
-    sent: Result<messages::OrderReply, outgoing::CallError>,
+    response: Result<messages::OrderReply, outgoing::CallError>,
 }
 
 impl actix::Handler<OrderAnswered> for entry::Control {
     type Result = ();
 
-    fn handle(&mut self, heard: OrderAnswered, cx: &mut Self::Context) {
+    fn handle(&mut self, answered: OrderAnswered, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let actions = match heard.sent {
-            Ok(reply) => self
-                .dispatcher
-                .order_answered(now_ms, heard.key, &heard.order, reply),
+        let actions = match answered.response {
+            Ok(reply) => {
+                self.dispatcher
+                    .order_answered(now_ms, answered.key, &answered.order, reply)
+            }
             Err(e) => {
                 let is_unsent = matches!(e, outgoing::CallError::NotSent(_));
                 self.dispatcher
-                    .order_lost(now_ms, heard.key, &heard.order, is_unsent)
+                    .order_lost(now_ms, answered.key, &answered.order, is_unsent)
             }
         };
         self.act(cx, actions);
--- a/src/leased/entry/peer_state.rs
+++ b/src/leased/entry/peer_state.rs
@@ -1,4 +1,4 @@
-//! What an entry learns from another one: where runners are, and what operators ask for.
+//! Fetches runner addresses and directives from another entry.
 
 use std::sync;
 use std::time;
@@ -12,25 +12,26 @@
 use crate::outgoing;
 use crate::receiving;
 
-/// How long another entry's answer is waited for; it grows with what operators configure.
+/// Limits on the answer, whose size grows with the configuration.
 const LIMITS: receiving::Limits = receiving::Limits {
     head: time::Duration::from_millis(500),
     gap: time::Duration::from_millis(500),
     bytes: outgoing::MAX_MESSAGE_BYTES,
 };
 
-/// Asks another entry for what it knows, and hands that to the control thread.
+/// Fetches runner addresses and directives from another entry and passes them to the control
+/// thread.
 pub async fn fetch_from_peer(from: SmolStr, control: &actix::Addr<entry::Control>) {
     let path = messages::KNOWN_PATH;
-    let asked: Result<messages::Known, _> = outgoing::fetch(&from, path, LIMITS).await;
-    let known = match asked {
+    let response: Result<messages::Known, _> = outgoing::fetch(&from, path, LIMITS).await;
+    let known = match response {
         Ok(known) => known,
         Err(e) => {
-            log::info!(event = "entry.unlearned", from = from.as_str(); "{e}");
+            log::info!(event = "entry.unlearned", from = from.as_str(); "can't fetch the state of another entry: {e}");
             return;
         }
     };
-    log::info!(event = "entry.learned", from = from.as_str(), runners = known.runners.len(), has_directives = known.directives.is_some(); "from another entry");
+    log::info!(event = "entry.learned", from = from.as_str(), runners = known.runners.len(), has_directives = known.directives.is_some(); "received the state of another entry");
     control.do_send(ports::RunnersDiscovered(known.runners));
     if let Some(directives) = known.directives {
         let directives = sync::Arc::unwrap_or_clone(directives);
@@ -39,25 +40,25 @@
 }
 
 impl entry::Control {
-    pub(super) fn learn(&self, cx: &actix::Context<Self>, from: SmolStr) {
+    pub(super) fn fetch_known(&self, cx: &actix::Context<Self>, from: SmolStr) {
         let control = cx.address();
         self.parts.pool.run(move |_client| async move {
             fetch_from_peer(from, &control).await;
-            control.do_send(Learned);
+            control.do_send(FetchFinished);
         });
     }
 }
 
-/// Another entry was asked, and all that it answered has been handed over.
+/// A fetch has ended, and its result, if any, has been passed to the control thread.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-struct Learned;
+struct FetchFinished;
 
-impl actix::Handler<Learned> for entry::Control {
+impl actix::Handler<FetchFinished> for entry::Control {
     type Result = ();
 
-    fn handle(&mut self, _learned: Learned, _cx: &mut Self::Context) {
+    fn handle(&mut self, _finished: FetchFinished, _cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         self.dispatcher.fetch_answered(now_ms);
     }
--- a/src/leased/peers.rs
+++ b/src/leased/peers.rs
@@ -1,4 +1,4 @@
-//! The pages that other processes of the system call.
+//! HTTP routes for the other processes of the system.
 
 use actix_web::web;
 use tokio::sync::oneshot;
@@ -10,13 +10,13 @@
 use crate::leased::runner;
 use crate::leased::traffic;
 
-/// Adds a runner's pages for entries.
+/// Adds the routes of a runner for entries.
 pub fn runner_routes(cfg: &mut web::ServiceConfig) {
     cfg.route(messages::WATCH_PATH, web::post().to(watch));
     cfg.route(messages::ORDER_PATH, web::post().to(order));
 }
 
-/// Adds an entry's pages for other entries.
+/// Adds the routes of an entry for other entries.
 pub fn entry_routes(cfg: &mut web::ServiceConfig) {
     cfg.route(messages::KNOWN_PATH, web::get().to(known));
 }
@@ -30,13 +30,13 @@
         Ok(watch) => watch,
         Err(refusal) => return refusal,
     };
-    let report: Result<oneshot::Receiver<_>, _> = control.send(runner::Watched(watch)).await;
+    let report: Result<oneshot::Receiver<_>, _> = control.send(runner::WatchReceived(watch)).await;
     let Ok(report) = report else {
         return incoming::refuse(codes::Code::Leaving);
     };
     match report.await {
         Ok(report) => incoming::counted_message(&report, |bytes| traffic.reports.add(bytes)),
-        Err(_replaced) => incoming::refuse(codes::Code::Leaving),
+        Err(_superseded) => incoming::refuse(codes::Code::Leaving),
     }
 }
 
@@ -48,15 +48,15 @@
         Ok(order) => order,
         Err(refusal) => return refusal,
     };
-    match control.send(runner::Ordered(order)).await {
+    match control.send(runner::OrderReceived(order)).await {
         Ok(reply) => incoming::message(&reply),
-        Err(_ended) => incoming::refuse(codes::Code::Leaving),
+        Err(_stopped) => incoming::refuse(codes::Code::Leaving),
     }
 }
 
 async fn known(control: web::Data<actix::Addr<entry::Control>>) -> actix_web::HttpResponse {
     match control.send(entry::WantKnown).await {
         Ok(known) => incoming::message(&known),
-        Err(_ended) => incoming::refuse(codes::Code::Leaving),
+        Err(_stopped) => incoming::refuse(codes::Code::Leaving),
     }
 }
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -17,61 +17,63 @@
 use crate::leased::traffic;
 use crate::metrics;
 
-/// How often time is looked at: a silent entry's runs are stopped this much late at most,
-/// a twenty-fifth of the silence that is allowed.
-const TICK: time::Duration = time::Duration::from_millis(20);
+/// Interval of the timer. Runs of a silent entry are stopped late by at most this, which is a
+/// twenty-fifth of the allowed silence.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// How long a stopping runner goes on after its last run, in milliseconds, so that every
-/// entry has heard of the ends: two watches.
-const LINGER_MS: u64 = 300;
+/// How long a stopping runner keeps serving after its last run, in milliseconds: two watches, so
+/// that every entry receives the last ends.
+const DRAIN_IDLE_MS: u64 = 300;
 
-/// What the control thread is made of.
+/// Dependencies and parameters of the control thread.
 #[derive(Debug)]
 pub struct Parts {
-    /// The runner's life.
+    /// Incarnation of the runner.
     pub me: ids::Incarnation,
-    /// Grows from life to life; keeps orders of former ones out at the backend server.
+    /// Fencing token, greater than that of every former incarnation; the backend server refuses
+    /// calls with a smaller one.
     pub fence: u64,
-    /// The clock.
+    /// Clock of the runner.
     pub clock: clock::Clock,
-    /// The backend server.
+    /// Calls to the backend server.
     pub backend: Box<dyn ports::Backend>,
-    /// What conversations cost.
+    /// Message counters.
     pub traffic: sync::Arc<traffic::Traffic>,
-    /// Longest time for a graceful stop.
+    /// Time limit of a graceful stop.
     pub grace: time::Duration,
 }
 
+/// A watch that has not been answered yet.
 #[derive(Debug)]
-struct Pending {
+struct OpenWatch {
     tx: oneshot::Sender<messages::Report>,
     until_ms: u64,
 }
 
-/// The control thread's state.
+/// State of the control thread.
 #[derive(Debug)]
 pub struct Control {
-    room: capacity::CapacityManager,
+    capacity: capacity::CapacityManager,
     clock: clock::Clock,
     backend: Box<dyn ports::Backend>,
     traffic: sync::Arc<traffic::Traffic>,
     grace: time::Duration,
-    pending: collections::HashMap<ids::Incarnation, Pending>,
+    open_watches: collections::HashMap<ids::Incarnation, OpenWatch>,
     idle_since_ms: Option<u64>,
     starts: u64,
     stops: u64,
 }
 
 impl Control {
-    /// A runner that has heard nothing yet.
+    /// Creates a runner that has not received anything yet.
     pub fn new(parts: Parts) -> Self {
         Self {
-            room: capacity::CapacityManager::new(parts.me, parts.fence),
+            capacity: capacity::CapacityManager::new(parts.me, parts.fence),
             clock: parts.clock,
             backend: parts.backend,
             traffic: parts.traffic,
             grace: parts.grace,
-            pending: collections::HashMap::new(),
+            open_watches: collections::HashMap::new(),
             idle_since_ms: None,
             starts: 0,
             stops: 0,
@@ -96,21 +98,21 @@
 
     fn answer_watches(&mut self) {
         let now_ms = self.clock.now_ms();
-        let is_due = |entry: &ids::Incarnation, pending: &Pending| {
-            pending.until_ms <= now_ms || self.room.has_update(*entry)
+        let is_due = |entry: &ids::Incarnation, open: &OpenWatch| {
+            open.until_ms <= now_ms || self.capacity.has_update(*entry)
         };
         let due = self
-            .pending
+            .open_watches
             .iter()
-            .filter(|(entry, pending)| is_due(entry, pending));
+            .filter(|(entry, open)| is_due(entry, open));
         let due: Vec<_> = due.map(|(entry, _)| *entry).collect();
         for entry in due {
-            let report = self.room.report(now_ms, entry);
-            let Some(pending) = self.pending.remove(&entry) else {
+            let report = self.capacity.report(now_ms, entry);
+            let Some(open) = self.open_watches.remove(&entry) else {
                 continue;
             };
-            if pending.tx.send(report).is_err() {
-                log::debug!(event = "watch.unheard", entry:% = entry; "entry gone");
+            if open.tx.send(report).is_err() {
+                log::debug!(event = "watch.unheard", entry:% = entry; "report not delivered: the connection of the watch is closed");
             }
         }
     }
@@ -121,51 +123,60 @@
 
     fn started(&mut self, cx: &mut Self::Context) {
         self.backend.poll_listings(cx.address().recipient());
-        cx.run_interval(TICK, |actor, cx| {
+        cx.run_interval(TICK_INTERVAL, |actor, cx| {
             let now_ms = actor.clock.now_ms();
-            let actions = actor.room.tick(now_ms);
+            let actions = actor.capacity.tick(now_ms);
             actor.act(cx, actions);
         });
     }
 }
 
-/// An entry asks.
+/// A watch from an entry; the receiver yields the report.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "oneshot::Receiver<messages::Report>")]
-pub struct Watched(pub messages::Watch);
+pub struct WatchReceived(pub messages::Watch);
 
-impl actix::Handler<Watched> for Control {
-    type Result = actix::MessageResult<Watched>;
+impl actix::Handler<WatchReceived> for Control {
+    type Result = actix::MessageResult<WatchReceived>;
 
-    fn handle(&mut self, Watched(watch): Watched, cx: &mut Self::Context) -> Self::Result {
+    fn handle(
+        &mut self,
+        WatchReceived(watch): WatchReceived,
+        cx: &mut Self::Context,
+    ) -> Self::Result {
         let now_ms = self.clock.now_ms();
         let (tx, rx) = oneshot::channel();
-        let actions = self.room.watch(now_ms, &watch);
+        let actions = self.capacity.watch(now_ms, &watch);
         let until_ms = now_ms + watch.wait_ms;
-        self.pending.insert(watch.entry, Pending { tx, until_ms });
+        self.open_watches
+            .insert(watch.entry, OpenWatch { tx, until_ms });
         self.act(cx, actions);
         actix::MessageResult(rx)
     }
 }
 
-/// An entry orders runs.
+/// An order from an entry.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "messages::OrderReply")]
-pub struct Ordered(pub messages::Order);
+pub struct OrderReceived(pub messages::Order);
 
-impl actix::Handler<Ordered> for Control {
-    type Result = actix::MessageResult<Ordered>;
+impl actix::Handler<OrderReceived> for Control {
+    type Result = actix::MessageResult<OrderReceived>;
 
-    fn handle(&mut self, Ordered(order): Ordered, cx: &mut Self::Context) -> Self::Result {
+    fn handle(
+        &mut self,
+        OrderReceived(order): OrderReceived,
+        cx: &mut Self::Context,
+    ) -> Self::Result {
         let now_ms = self.clock.now_ms();
         let entry = order.entry;
-        let (reply, actions) = self.room.order(now_ms, order);
-        if let Some(pending) = self.pending.get_mut(&entry) {
-            // The entry asked while it had no runs here, and may wait for longer than an
-            // entry's lease allows for now.
-            pending.until_ms = pending.until_ms.min(now_ms + dispatch::WATCH_WAIT_MS);
+        let (reply, actions) = self.capacity.order(now_ms, order);
+        if let Some(open) = self.open_watches.get_mut(&entry) {
+            // The watch was opened when the entry had no runs here, and may wait longer than
+            // the lease of an entry with runs allows.
+            open.until_ms = open.until_ms.min(now_ms + dispatch::WATCH_WAIT_MS);
         }
         self.act(cx, actions);
         actix::MessageResult(reply)
@@ -175,9 +186,11 @@
 impl actix::Handler<ports::StartAnswered> for Control {
     type Result = ();
 
-    fn handle(&mut self, heard: ports::StartAnswered, cx: &mut Self::Context) {
+    fn handle(&mut self, answered: ports::StartAnswered, cx: &mut Self::Context) {
         let now_ms = self.clock.now_ms();
-        let actions = self.room.start_answered(now_ms, &heard.id, heard.answer);
+        let actions = self
+            .capacity
+            .start_answered(now_ms, &answered.id, answered.answer);
         self.act(cx, actions);
     }
 }
@@ -185,30 +198,30 @@
 impl actix::Handler<ports::StopAnswered> for Control {
     type Result = ();
 
-    fn handle(&mut self, heard: ports::StopAnswered, _cx: &mut Self::Context) {
-        self.room
-            .stop_answered(self.clock.now_ms(), &heard.id, heard.is_acknowledged);
+    fn handle(&mut self, answered: ports::StopAnswered, _cx: &mut Self::Context) {
+        self.capacity
+            .stop_answered(self.clock.now_ms(), &answered.id, answered.is_acknowledged);
     }
 }
 
 impl actix::Handler<ports::ListAnswered> for Control {
     type Result = actix::MessageResult<ports::ListAnswered>;
 
-    fn handle(&mut self, heard: ports::ListAnswered, cx: &mut Self::Context) -> Self::Result {
-        if let Some(answer) = heard.answer {
+    fn handle(&mut self, answered: ports::ListAnswered, cx: &mut Self::Context) -> Self::Result {
+        if let Some(answer) = answered.answer {
             let now_ms = self.clock.now_ms();
-            let actions = self.room.listed(now_ms, heard.sent_at_ms, answer);
+            let actions = self.capacity.listed(now_ms, answered.sent_at_ms, answer);
             self.act(cx, actions);
         }
-        actix::MessageResult(self.room.next_list(self.clock.now_ms()))
+        actix::MessageResult(self.capacity.next_list(self.clock.now_ms()))
     }
 }
 
 impl actix::Handler<ports::Announced> for Control {
     type Result = bool;
 
-    fn handle(&mut self, heard: ports::Announced, _cx: &mut Self::Context) -> bool {
-        let is_latest = self.room.announced(self.clock.now_ms(), heard.0);
+    fn handle(&mut self, heartbeat: ports::Announced, _cx: &mut Self::Context) -> bool {
+        let is_latest = self.capacity.announced(self.clock.now_ms(), heartbeat.0);
         self.answer_watches();
         is_latest
     }
@@ -219,10 +232,10 @@
 
     fn handle(
         &mut self,
-        ports::BackendRestored(known): ports::BackendRestored,
+        ports::BackendRestored(stored): ports::BackendRestored,
         _cx: &mut Self::Context,
     ) {
-        self.room.restore_backend(known);
+        self.capacity.restore_backend(stored);
     }
 }
 
@@ -230,7 +243,7 @@
     type Result = ();
 
     fn handle(&mut self, ports::BackendLeft(name): ports::BackendLeft, _cx: &mut Self::Context) {
-        self.room.backend_left(self.clock.now_ms(), &name);
+        self.capacity.backend_left(self.clock.now_ms(), &name);
         self.answer_watches();
     }
 }
@@ -239,7 +252,7 @@
     type Result = actix::MessageResult<control::Leave>;
 
     fn handle(&mut self, _leave: control::Leave, _cx: &mut Self::Context) -> Self::Result {
-        self.room.leave(self.clock.now_ms());
+        self.capacity.leave(self.clock.now_ms());
         self.answer_watches();
         actix::MessageResult(self.grace)
     }
@@ -250,12 +263,12 @@
 
     fn handle(&mut self, _ask: control::IsDrained, _cx: &mut Self::Context) -> bool {
         let now_ms = self.clock.now_ms();
-        if self.room.runs() > 0 {
+        if self.capacity.runs() > 0 {
             self.idle_since_ms = None;
             return false;
         }
         let since_ms = *self.idle_since_ms.get_or_insert(now_ms);
-        now_ms >= since_ms + LINGER_MS
+        now_ms >= since_ms + DRAIN_IDLE_MS
     }
 }
 
@@ -263,7 +276,7 @@
     type Result = ();
 
     fn handle(&mut self, _abandon: control::Abandon, _cx: &mut Self::Context) {
-        log::warn!(event = "runner.abandon", runs = self.room.runs(); "out of time with runs left");
+        log::warn!(event = "runner.abandon", runs = self.capacity.runs(); "time limit of the graceful stop exceeded; exiting with runs left");
     }
 }
 
@@ -271,9 +284,9 @@
     type Result = actix::MessageResult<control::WantMetrics>;
 
     fn handle(&mut self, _want: control::WantMetrics, _cx: &mut Self::Context) -> Self::Result {
-        let load = self.room.load(self.clock.now_ms());
+        let load = self.capacity.load(self.clock.now_ms());
         let is_ready = u64::from(load.readiness == messages::Readiness::Ready);
-        let runs = self.room.runs() as u64;
+        let runs = self.capacity.runs() as u64;
         let mut samples = self.traffic.runner_samples();
         samples.extend([
             metrics::Sample::counter(
@@ -301,7 +314,7 @@
             metrics::Sample::gauge(
                 "directives_version",
                 "Version of the configuration that was told of",
-                self.room.latest().version,
+                self.capacity.latest().version,
             ),
         ]);
         actix::MessageResult(samples)
