--- a/src/leased/capacity/call_timeout.rs
+++ b/src/leased/capacity/call_timeout.rs
@@ -1,54 +1,55 @@
-//! How long the backend server's answers are waited for.
+//! Adaptive time-out for calls to the backend server.
 //!
-//! Load that this answers: a backend server that leaves a few calls in a hundred without an
-//! answer. A start that is waited for in vain makes its job late, and while the question
-//! what runs is, the runner hears of no end: room that came free stands empty and all that
-//! is ordered waits. A fixed limit is too long for that, or too short for an instance that
-//! is slow for a while; so it follows the answers that came, as a retransmission timer does.
+//! A backend server may leave a few calls in a hundred unanswered. Waiting too long for the
+//! answer to a start makes the job late. Waiting too long for a listing hides ended runs, so
+//! that free capacity stays idle while orders wait. No fixed time-out fits both this and an
+//! instance that is slow for a while, so the time-out follows recent response times, as a
+//! retransmission timer does.
 
-/// Shortest limit, in milliseconds: a backend server answers within a millisecond, and a
-/// busy instance reads the answer some milliseconds later.
-const LEAST_MS: u64 = 20;
+/// Shortest time-out, in milliseconds: a backend server answers within a millisecond, and a busy
+/// instance may read the answer some milliseconds later.
+const MIN_TIMEOUT_MS: u64 = 20;
 
-/// Longest limit, in milliseconds: well below the silence that makes it `Unreachable`.
-const MOST_MS: u64 = 200;
+/// Longest time-out, in milliseconds: well below the silence after which the backend server
+/// counts as unreachable.
+const MAX_TIMEOUT_MS: u64 = 200;
 
-/// How many times the slowest answer of late a call may take.
-const FACTOR: u64 = 4;
+/// Ratio of the time-out to the slowest recent response.
+const SLOWEST_FACTOR: u64 = 4;
 
-/// Part of the slowest answer that each faster one takes off it, as a divisor.
-const DECAY: u64 = 8;
+/// Each faster response reduces the slowest response time by one part in this many.
+const DECAY_DIVISOR: u64 = 8;
 
-/// Most limits in a row that are doubled.
-const MOST_DOUBLED: u32 = 4;
+/// Number of time-outs in a row that each double the next time-out.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// The answers that came of late.
+/// Time-out derived from recent response times.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CallTimeout {
     slowest_ms: u64,
-    /// Calls in a row without an answer.
-    missed: u32,
+    /// Number of calls in a row that timed out.
+    timed_out: u32,
 }
 
 impl CallTimeout {
-    /// A call was answered after so many milliseconds.
-    pub fn record_response(&mut self, took_ms: u64) {
-        let faded_ms = self.slowest_ms - self.slowest_ms.div_ceil(DECAY);
-        self.slowest_ms = faded_ms.max(took_ms);
-        self.missed = 0;
+    /// Records the response time of an answered call.
+    pub fn record_response(&mut self, elapsed_ms: u64) {
+        let decayed_ms = self.slowest_ms - self.slowest_ms.div_ceil(DECAY_DIVISOR);
+        self.slowest_ms = decayed_ms.max(elapsed_ms);
+        self.timed_out = 0;
     }
 
-    /// A call had no answer within its limit.
+    /// Records a call that timed out.
     ///
-    /// The limits grow, or an instance that has turned slow would never hear an answer that
-    /// could tell it so.
+    /// The time-out then grows; otherwise no answer of an instance that has become slow would
+    /// arrive in time, and its response time would remain unknown.
     pub fn record_timeout(&mut self) {
-        self.missed = (self.missed + 1).min(MOST_DOUBLED);
+        self.timed_out = (self.timed_out + 1).min(MAX_DOUBLINGS);
     }
 
-    /// How long the next call's answer is waited for, in milliseconds.
+    /// Returns the time-out of the next call, in milliseconds.
     pub fn timeout_ms(&self) -> u64 {
-        let usual_ms = (FACTOR * self.slowest_ms).max(LEAST_MS);
-        (usual_ms << self.missed).min(MOST_MS)
+        let usual_ms = (SLOWEST_FACTOR * self.slowest_ms).max(MIN_TIMEOUT_MS);
+        (usual_ms << self.timed_out).min(MAX_TIMEOUT_MS)
     }
 }
--- a/src/leased/capacity/expiry.rs
+++ b/src/leased/capacity/expiry.rs
@@ -1,4 +1,4 @@
-//! What time ends at a runner: runs of silent entries, stops that were not heard, and leases.
+//! Time-driven actions of a runner: silent entries, repeated stops and expired leases.
 
 use std::collections;
 
@@ -6,36 +6,36 @@
 use crate::leased::capacity::owners;
 use crate::leased::messages;
 
-/// Time after which an entry without runs and signs of life is forgotten, in milliseconds.
-const FORGET_OWNER_MS: u64 = 10_000;
+/// Time after which a silent entry without runs is removed, in milliseconds.
+const OWNER_RETENTION_MS: u64 = 10_000;
 
 impl capacity::CapacityManager {
-    /// Time passes: silent entries lose their runs, unheard stops are sent again, and
-    /// leases lapse.
+    /// Stops the runs of silent entries, repeats unacknowledged stops, ends runs whose leases have
+    /// expired, and starts queued runs that fit.
     pub fn tick(&mut self, now_ms: u64) -> Vec<capacity::Action> {
-        self.forget_owners(now_ms);
-        if !self.runs.is_empty() && self.clock.has_lapsed(now_ms) {
-            self.end_life(now_ms, "every lease has lapsed");
+        self.remove_silent_owners(now_ms);
+        if !self.runs.is_empty() && self.backend_clock.has_expired(now_ms) {
+            self.end_incarnation(now_ms, "all leases have expired");
         }
         let mut actions = Vec::new();
         let due: Vec<_> = self
             .runs
             .iter()
-            .filter_map(|(id, run)| self.due(now_ms, id, run))
+            .filter_map(|(id, run)| self.due_stop(now_ms, id, run))
             .collect();
         for (id, why) in due {
             actions.extend(self.stop(now_ms, &id, why));
         }
-        self.note_readiness(now_ms);
-        actions.extend(self.serve_line(now_ms));
+        self.update_readiness(now_ms);
+        actions.extend(self.start_queued(now_ms));
         actions
     }
 
-    /// Whether a run has to be stopped now.
+    /// Returns the run and the reason if it has to be stopped now.
     ///
-    /// An entry that is dead, frozen or cut off renews nothing; its callers send their
-    /// jobs again elsewhere, and what it started must be gone by then.
-    fn due(
+    /// An entry that has crashed, is suspended or is partitioned renews no lease. Its callers
+    /// resend their jobs to other entries, and the runs that it started must have ended by then.
+    fn due_stop(
         &self,
         now_ms: u64,
         id: &messages::RunId,
@@ -43,8 +43,8 @@
     ) -> Option<(messages::RunId, &'static str)> {
         if let Some(stop) = run.stop {
             let is_due =
-                !stop.is_acknowledged && now_ms >= stop.called_ms + capacity::STOP_AGAIN_MS;
-            return is_due.then(|| (id.clone(), "not noted yet"));
+                !stop.is_acknowledged && now_ms >= stop.sent_at_ms + capacity::STOP_RETRY_MS;
+            return is_due.then(|| (id.clone(), "stop not acknowledged"));
         }
         let alive_at_ms = self
             .owners
@@ -52,16 +52,16 @@
             .map_or(0, owners::Owner::alive_at_ms);
         let is_silent = now_ms > alive_at_ms + capacity::OWNER_TIMEOUT_MS;
         if run.must_stop {
-            return Some((id.clone(), "meant for a former life"));
+            return Some((id.clone(), "meant for a former incarnation"));
         }
         is_silent.then(|| (id.clone(), "entry silent"))
     }
 
-    fn forget_owners(&mut self, now_ms: u64) {
+    fn remove_silent_owners(&mut self, now_ms: u64) {
         let busy: collections::HashSet<_> = self.runs.values().map(|run| run.owner).collect();
         self.owners.retain(|entry, owner| {
-            let last_ms = owner.alive_at_ms().max(owner.told_ms);
-            busy.contains(entry) || now_ms < last_ms + FORGET_OWNER_MS
+            let last_ms = owner.alive_at_ms().max(owner.reported_at_ms);
+            busy.contains(entry) || now_ms < last_ms + OWNER_RETENTION_MS
         });
     }
 }
--- a/src/leased/capacity/listings.rs
+++ b/src/leased/capacity/listings.rs
@@ -1,4 +1,4 @@
-//! What a runner makes of its backend server's lists of what runs and what ended.
+//! How a runner applies the backend server's listings of running and ended runs.
 
 use std::collections;
 
@@ -6,27 +6,28 @@
 use crate::leased::messages;
 use crate::leased::ports;
 
-/// Longest wait of the question what runs; a lease is renewed as often, in milliseconds.
+/// Longest wait of a listing call, in milliseconds, which is also the interval of lease renewals.
 const LIST_WAIT_MS: u64 = 200;
 
-/// The same while anything runs. An answer that is lost is missed only once the wait is
-/// over, and no end is heard of meanwhile.
+/// The same while any run is held: a lost answer is noticed only after the wait, and no end is
+/// received in the meantime.
 const BUSY_LIST_WAIT_MS: u64 = 50;
 
-/// Wait of that question while a noted stop has yet to be seen in a list, in milliseconds.
+/// Wait of a listing call while the effect of an acknowledged stop is not yet confirmed by a
+/// listing, in milliseconds.
 ///
-/// A start without an answer is stopped, and its task goes elsewhere once a list shows that
-/// it doesn't run. With 200 ms each such task was late whatever it was.
+/// A start without an answer is stopped, and its task is started elsewhere once a listing shows
+/// that it is not running. With a wait of 200 ms, every such task would be late.
 const SETTLE_WAIT_MS: u64 = 4;
 
-/// What is added to a fence that was refused; above any backward jump of the time of day
-/// from which the first one is taken, in milliseconds.
-const FENCE_STEP: u64 = 60_000;
+/// Increment of a fence that was refused, in milliseconds. It exceeds any backward step of the
+/// wall clock, from which the first fence is taken.
+const FENCE_STEP_MS: u64 = 60_000;
 
 impl capacity::CapacityManager {
-    /// The next question what runs.
+    /// Returns the next listing call.
     pub fn next_list(&mut self, now_ms: u64) -> ports::ListCall {
-        let is_renewed = self.clock.is_known() && !self.runs.is_empty();
+        let is_renewed = self.backend_clock.is_known() && !self.runs.is_empty();
         let lease_ms = self.lease_ms(now_ms);
         self.list_wait_ms = self.next_list_wait_ms();
         ports::ListCall {
@@ -35,15 +36,15 @@
                 .as_ref()
                 .map(|backend| backend.incarnation.clone()),
             fence: self.fence,
-            lease_until_ms: is_renewed.then(|| self.clock.grant(now_ms, lease_ms)),
-            acked: self.acked,
+            lease_until_ms: is_renewed.then(|| self.backend_clock.grant(now_ms, lease_ms)),
+            acked: self.acked_end,
             wait_ms: self.list_wait_ms,
             timeout_ms: self.call_timeout.timeout_ms(),
         }
     }
 
     fn next_list_wait_ms(&self) -> u64 {
-        if !self.is_clean {
+        if !self.is_reconciled {
             return 0;
         }
         let mut stops = self.runs.values().filter_map(|run| run.stop);
@@ -56,23 +57,23 @@
         }
     }
 
-    /// The backend server said what runs, or nothing was heard.
+    /// Handles the answer to the listing call sent at `sent_at_ms`.
     pub fn listed(
         &mut self,
         now_ms: u64,
-        asked_ms: u64,
+        sent_at_ms: u64,
         answer: ports::ListAnswer,
     ) -> Vec<capacity::Action> {
-        self.note_answer(now_ms, asked_ms, &answer);
+        self.record_list_time(now_ms, sent_at_ms, &answer);
         let mut actions = match answer {
-            ports::ListAnswer::Listed(listing) => self.take_list(now_ms, asked_ms, &listing),
+            ports::ListAnswer::Listed(listing) => self.apply_listing(now_ms, sent_at_ms, &listing),
             ports::ListAnswer::Fenced => {
-                self.fence += FENCE_STEP;
-                log::warn!(event = "backend.fenced", fence = self.fence; "a greater fence was there");
+                self.fence += FENCE_STEP_MS;
+                log::warn!(event = "backend.fenced", fence = self.fence; "backend server has accepted a greater fence; raised the fence of this runner");
                 Vec::new()
             }
             ports::ListAnswer::OtherIncarnation => {
-                self.end_life(now_ms, "another life answered");
+                self.end_incarnation(now_ms, "another incarnation answered");
                 self.backend = None;
                 Vec::new()
             }
@@ -82,56 +83,56 @@
         actions
     }
 
-    /// How fast the answer came, where that can be told: one that came within its wait may
-    /// have come at once or not.
-    fn note_answer(&mut self, now_ms: u64, asked_ms: u64, answer: &ports::ListAnswer) {
-        let beyond_ms = now_ms.saturating_sub(asked_ms + self.list_wait_ms);
+    /// Records the response time of a listing call, as far as it is known: an answer that came
+    /// within the wait may have been delayed on purpose.
+    fn record_list_time(&mut self, now_ms: u64, sent_at_ms: u64, answer: &ports::ListAnswer) {
+        let beyond_wait_ms = now_ms.saturating_sub(sent_at_ms + self.list_wait_ms);
         match answer {
             ports::ListAnswer::Lost => self.call_timeout.record_timeout(),
-            _ if beyond_ms > 0 => self.call_timeout.record_response(beyond_ms),
+            _ if beyond_wait_ms > 0 => self.call_timeout.record_response(beyond_wait_ms),
             _ => {}
         }
     }
 
-    fn take_list(
+    fn apply_listing(
         &mut self,
         now_ms: u64,
-        asked_ms: u64,
+        sent_at_ms: u64,
         listing: &ports::Listing,
     ) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
         if listing.started_at_ms != backend.incarnation.started_at_ms
-            || asked_ms < self.listed_asked_ms
+            || sent_at_ms < self.listing_sent_at_ms
         {
             return Vec::new();
         }
-        self.listed_asked_ms = asked_ms;
-        self.heard_ms = Some(now_ms);
-        self.clock.hear(listing.clock_ms, now_ms);
+        self.listing_sent_at_ms = sent_at_ms;
+        self.last_seen_ms = Some(now_ms);
+        self.backend_clock.record(listing.clock_ms, now_ms);
         for ended in &listing.ended {
-            if ended.number > self.acked {
+            if ended.number > self.acked_end {
                 self.end(now_ms, &ended.id, ended.how);
             }
         }
         for running in &listing.running {
             if let Some(run) = self.runs.get_mut(&running.id) {
-                run.is_listed = true;
+                run.was_listed = true;
             }
         }
         let last = listing.ended.iter().map(|ended| ended.number).max();
-        self.acked = self.acked.max(last.unwrap_or(0));
-        self.end_missing(now_ms, asked_ms, listing);
+        self.acked_end = self.acked_end.max(last.unwrap_or(0));
+        self.end_missing(now_ms, sent_at_ms, listing);
         self.stop_unknown(listing)
     }
 
-    /// Runs that should be in the list and are in no part of it are over.
-    fn end_missing(&mut self, now_ms: u64, asked_ms: u64, listing: &ports::Listing) {
+    /// Ends the runs that the listing should contain but does not.
+    fn end_missing(&mut self, now_ms: u64, sent_at_ms: u64, listing: &ports::Listing) {
         let listed: collections::HashSet<_> =
             listing.running.iter().map(|running| &running.id).collect();
         let is_missing = |(id, run): &(&messages::RunId, &capacity::Run)| {
-            run.settled_ms.is_some_and(|at| at < asked_ms) && !listed.contains(id)
+            run.settled_at_ms.is_some_and(|at_ms| at_ms < sent_at_ms) && !listed.contains(id)
         };
         let missing = self.runs.iter().filter(is_missing);
         let missing: Vec<_> = missing.map(|(id, _)| id.clone()).collect();
@@ -140,8 +141,10 @@
         }
     }
 
-    /// Stops what a former life of the runner started; until it is gone, its room and the
-    /// second runs that it would allow are unknown, and nothing new is taken.
+    /// Stops the runs that a former incarnation of the runner started.
+    ///
+    /// Until they have ended, the free capacity is unknown and a task could run twice, so no new
+    /// runs are accepted.
     fn stop_unknown(&mut self, listing: &ports::Listing) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
@@ -149,7 +152,7 @@
         let is_unknown = |running: &&ports::Running| !self.runs.contains_key(&running.id);
         let unknown: Vec<_> = listing.running.iter().filter(is_unknown).collect();
         let calls = unknown.iter().map(|running| {
-            log::info!(event = "run.stop", run:% = running.id, why = "left by a former life"; "stopping");
+            log::info!(event = "run.stop", run:% = running.id, why = "started by a former incarnation of the runner"; "stopping the run");
             capacity::Action::Stop(ports::StopCall {
                 id: running.id.clone(),
                 incarnation: backend.incarnation.clone(),
@@ -158,7 +161,7 @@
             })
         });
         let calls: Vec<_> = calls.collect();
-        self.is_clean = calls.is_empty();
+        self.is_reconciled = calls.is_empty();
         calls
     }
 }
--- a/src/leased/capacity/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! A runner's decisions about runs under leases, without network or clock.
+//! A runner's decisions about runs under leases, without I/O and clock.
 //!
-//! The backend server starts whatever it is told to, so this is the one keeper of its
-//! room: a run takes room from the moment it is ordered until the backend server lists
-//! its end, or until it is certain that it never started.
+//! The backend server starts whatever it is told to start, so only the runner accounts for its
+//! capacity: a run occupies capacity from the call that starts it until the backend server lists
+//! its end, or until it is certain that the run never started.
 
 pub mod backend_clock;
 pub mod call_timeout;
@@ -23,27 +23,28 @@
 use crate::leased::ports;
 use crate::wire;
 
-/// How long an entry may give no sign of life before its runs are stopped, in
-/// milliseconds. Three watches of 150 ms may be lost on the way.
+/// Silence of an entry after which its runs are stopped, in milliseconds. Three watches of 150 ms
+/// may be lost.
 pub const OWNER_TIMEOUT_MS: u64 = 500;
 
-/// Lease of the backend server's runs, in milliseconds: three renewals may be lost.
+/// Duration of the lease on the backend server's runs, in milliseconds: three renewals may be
+/// lost.
 pub const LEASE_MS: u64 = 700;
 
-/// No lease lasts longer than this from the last sign of life of an entry that has runs,
-/// in milliseconds. A caller that lost its entry sends the job again after 1,300 ms; with
-/// a clock that is 2 % slow, a stop of 50 ms and the ways, 1,100 ms end before that.
+/// Longest time from when an entry with runs was last seen to the end of any lease, in
+/// milliseconds. A caller that lost its entry resends the job after 1,300 ms. Even with a clock
+/// that is 2 % slow, a stop of 50 ms and the network latency, 1,100 ms end before that.
 pub const OWNER_LEASE_MS: u64 = 1_100;
 
-/// Pause before a stop that wasn't heard is sent again, in milliseconds; a backend server
+/// Pause before a stop that was not acknowledged is sent again, in milliseconds; a backend server
 /// answers within a millisecond.
-const STOP_AGAIN_MS: u64 = 50;
+const STOP_RETRY_MS: u64 = 50;
 
-/// Silence after which a backend server takes no more work, in milliseconds: a question
-/// of 200 ms and its answer, twice.
-const UNREACHABLE_MS: u64 = 450;
+/// Silence after which a backend server counts as unreachable, in milliseconds: twice a listing
+/// call with a wait of 200 ms and its answer.
+const UNREACHABLE_AFTER_MS: u64 = 450;
 
-/// What the runner's surroundings must do.
+/// A call to the backend server that the caller of this module must make.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Start a run at the backend server.
@@ -52,94 +53,101 @@
     Stop(ports::StopCall),
 }
 
+/// A run that is queued, or occupies capacity.
 #[derive(Clone, Debug)]
 struct Run {
     owner: ids::Incarnation,
-    order: u64,
+    order_number: u64,
     need: wire::Resources,
-    /// When it was ordered; once it has waited, when its start was sent.
-    ordered_ms: u64,
-    /// Its place in the line, as long as it waits for room.
-    place: Option<wait_queue::Place>,
-    /// Whether a list has shown it running.
-    is_listed: bool,
-    /// Whether it is to be stopped whatever its entry wants.
+    /// When the run was ordered, or, once it has left the wait queue, when its start was sent.
+    ordered_at_ms: u64,
+    /// The start, while the run waits for capacity.
+    queued: Option<wait_queue::QueuedStart>,
+    /// Whether a listing has shown the run.
+    was_listed: bool,
+    /// Whether the run has to be stopped even if its entry still wants it.
     must_stop: bool,
-    /// A list that was asked for later than this and lacks the run proves that it is over.
-    settled_ms: Option<u64>,
+    /// A listing requested after this time that lacks the run proves that the run has ended.
+    settled_at_ms: Option<u64>,
     stop: Option<Stop>,
 }
 
+/// The last stop sent for a run.
 #[derive(Clone, Copy, Debug)]
 struct Stop {
-    called_ms: u64,
+    sent_at_ms: u64,
     is_acknowledged: bool,
 }
 
-/// The state of one runner.
+/// The state of one runner: its backend server, the entries it serves and their runs.
 #[derive(Debug)]
 pub struct CapacityManager {
     me: ids::Incarnation,
     fence: u64,
     backend: Option<ports::Announcement>,
-    clock: backend_clock::BackendClock,
+    backend_clock: backend_clock::BackendClock,
     owners: collections::HashMap<ids::Incarnation, owners::Owner>,
     runs: collections::HashMap<messages::RunId, Run>,
     used: wire::Resources,
-    line: messages::WaitQueue,
+    wait_queue: messages::WaitQueue,
     latest: directives::LatestNotice,
-    /// The entry that last showed that it has the latest configuration whole.
-    holder: Option<SmolStr>,
-    acked: u64,
-    listed_asked_ms: u64,
+    /// Address of the entry that last reported the complete latest configuration.
+    configuration_holder: Option<SmolStr>,
+    /// Number of the last end received from the backend server.
+    acked_end: u64,
+    /// When the call was sent whose listing was applied last.
+    listing_sent_at_ms: u64,
     call_timeout: call_timeout::CallTimeout,
-    /// Wait of the last question what runs, in milliseconds.
+    /// Wait of the last listing call, in milliseconds.
     list_wait_ms: u64,
-    heard_ms: Option<u64>,
-    is_clean: bool,
+    /// When the last valid listing was received.
+    last_seen_ms: Option<u64>,
+    /// Whether the last listing showed no runs of a former incarnation of this runner.
+    is_reconciled: bool,
     is_leaving: bool,
     sequence: u64,
-    told_readiness: messages::Readiness,
+    reported_readiness: messages::Readiness,
 }
 
 impl CapacityManager {
-    /// A runner that has heard nothing yet; `fence` should grow from life to life.
+    /// Creates a runner that has not received anything yet; `fence` should be greater than that of
+    /// every former incarnation.
     pub fn new(me: ids::Incarnation, fence: u64) -> Self {
         Self {
             me,
             fence,
             backend: None,
-            clock: backend_clock::BackendClock::default(),
+            backend_clock: backend_clock::BackendClock::default(),
             owners: collections::HashMap::new(),
             runs: collections::HashMap::new(),
             used: wire::Resources::default(),
-            line: messages::WaitQueue::default(),
+            wait_queue: messages::WaitQueue::default(),
             latest: directives::LatestNotice::default(),
-            holder: None,
-            acked: 0,
-            listed_asked_ms: 0,
+            configuration_holder: None,
+            acked_end: 0,
+            listing_sent_at_ms: 0,
             call_timeout: call_timeout::CallTimeout::default(),
             list_wait_ms: 0,
-            heard_ms: None,
-            is_clean: false,
+            last_seen_ms: None,
+            is_reconciled: false,
             is_leaving: false,
             sequence: 0,
-            told_readiness: messages::Readiness::Starting,
+            reported_readiness: messages::Readiness::Starting,
         }
     }
 
-    /// How many runs are held.
+    /// Returns the number of queued and running runs.
     pub fn runs(&self) -> usize {
         self.runs.len()
     }
 
-    /// The runner is to stop: it takes nothing more.
+    /// Starts a graceful stop: no further runs are accepted.
     pub fn leave(&mut self, now_ms: u64) {
         self.is_leaving = true;
-        self.note_readiness(now_ms);
+        self.update_readiness(now_ms);
     }
 
-    /// Whether the runner, or its backend server, takes work.
+    /// Returns whether the runner and its backend server accept work.
     pub fn readiness(&self, now_ms: u64) -> messages::Readiness {
         if self.is_leaving {
             return messages::Readiness::Leaving;
@@ -150,157 +158,160 @@
         if backend.is_leaving {
             return messages::Readiness::Leaving;
         }
-        if !self.is_clean {
+        if !self.is_reconciled {
             return messages::Readiness::Starting;
         }
-        let heard_ms = self.heard_ms.unwrap_or(0);
-        if now_ms.saturating_sub(heard_ms) > UNREACHABLE_MS {
+        let last_seen_ms = self.last_seen_ms.unwrap_or(0);
+        if now_ms.saturating_sub(last_seen_ms) > UNREACHABLE_AFTER_MS {
             return messages::Readiness::Unreachable;
         }
         messages::Readiness::Ready
     }
 
-    /// Tells every entry at once when the readiness has changed.
-    fn note_readiness(&mut self, now_ms: u64) {
+    /// Schedules a report to every entry if the readiness has changed.
+    fn update_readiness(&mut self, now_ms: u64) {
         let readiness = self.readiness(now_ms);
-        if readiness == self.told_readiness {
+        if readiness == self.reported_readiness {
             return;
         }
-        log::info!(event = "runner.readiness", before:? = self.told_readiness, after:? = readiness; "changed");
-        self.told_readiness = readiness;
+        log::info!(event = "runner.readiness", before:? = self.reported_readiness, after:? = readiness; "readiness changed; reporting it to all entries");
+        self.reported_readiness = readiness;
         for owner in self.owners.values_mut() {
             owner.has_update = true;
         }
     }
 
-    /// The backend server's heartbeat came in; whether it is taken note of.
+    /// Handles a heartbeat of the backend server; returns whether it is the latest one.
     ///
-    /// One that was held up on the way may come after its sender crashed and a later life
-    /// announced itself; the earlier life must not take the later one's place.
-    pub fn announced(&mut self, now_ms: u64, heard: ports::Announcement) -> bool {
+    /// A delayed heartbeat may arrive after its sender has crashed and a later incarnation has
+    /// announced itself. The earlier incarnation must not replace the later one.
+    pub fn announced(&mut self, now_ms: u64, announcement: ports::Announcement) -> bool {
         if let Some(known) = &self.backend {
-            let is_older = heard.incarnation.started_at_ms < known.incarnation.started_at_ms;
-            let is_same = heard.incarnation == known.incarnation;
-            if is_older || (is_same && heard.sequence <= known.sequence) {
-                log::info!(event = "backend.heartbeat_late", born_ms = heard.incarnation.started_at_ms, sequence = heard.sequence; "passed over");
+            let is_older = announcement.incarnation.started_at_ms < known.incarnation.started_at_ms;
+            let is_same = announcement.incarnation == known.incarnation;
+            if is_older || (is_same && announcement.sequence <= known.sequence) {
+                log::info!(event = "backend.heartbeat_late", born_ms = announcement.incarnation.started_at_ms, sequence = announcement.sequence; "ignoring a heartbeat older than the last one");
                 return false;
             }
             if !is_same {
-                self.end_listed(now_ms);
+                self.supersede_incarnation(now_ms);
             }
         } else {
-            log::info!(event = "backend.found", name = heard.incarnation.name.as_str(), born_ms = heard.incarnation.started_at_ms, cpu_milli = heard.size.cpu_milli; "announced");
+            log::info!(event = "backend.found", name = announcement.incarnation.name.as_str(), born_ms = announcement.incarnation.started_at_ms, cpu_milli = announcement.size.cpu_milli; "received the first heartbeat of the backend server");
         }
-        self.backend = Some(heard);
-        self.note_readiness(now_ms);
+        self.backend = Some(announcement);
+        self.update_readiness(now_ms);
         true
     }
 
-    /// Takes up what a former life of the runner knew of the backend server.
+    /// Restores the backend server's announcement that a former incarnation of the runner stored.
     ///
-    /// Heartbeats come every 1.5 s, and as long a restarted runner would leave its backend
-    /// server idle. What was known is used once the backend server's list shows that the
-    /// same life still runs; if another does, the next heartbeat tells of it.
-    pub fn restore_backend(&mut self, known: ports::Announcement) {
+    /// Heartbeats arrive every 1.5 s, and until then a restarted runner would leave its backend
+    /// server idle. The announcement is used once a listing shows that the same incarnation is
+    /// still running; if it is not, the next heartbeat replaces the announcement.
+    pub fn restore_backend(&mut self, stored: ports::Announcement) {
         if self.backend.is_some() {
             return;
         }
-        log::info!(event = "backend.recalled", name = known.incarnation.name.as_str(), born_ms = known.incarnation.started_at_ms, cpu_milli = known.size.cpu_milli; "known from a former life");
+        log::info!(event = "backend.recalled", name = stored.incarnation.name.as_str(), born_ms = stored.incarnation.started_at_ms, cpu_milli = stored.size.cpu_milli; "restored the announcement that a former incarnation of the runner stored");
         self.backend = Some(ports::Announcement {
             sequence: 0,
-            ..known
+            ..stored
         });
     }
 
-    /// The backend server says that it is gone.
+    /// Handles the message of a backend server that it has stopped for good.
     pub fn backend_left(&mut self, now_ms: u64, name: &str) {
         if self
             .backend
             .as_ref()
             .is_some_and(|known| known.incarnation.name == name)
         {
-            self.end_life(now_ms, "it left");
+            self.end_incarnation(now_ms, "the backend server has stopped");
             self.backend = None;
-            self.note_readiness(now_ms);
+            self.update_readiness(now_ms);
         }
     }
 
-    /// A later life has taken the place of the one that was known so far: what that one ran is
-    /// over, and what it may never have got is stopped at the later one.
+    /// Ends the runs of the former incarnation of the backend server, after a later one has
+    /// announced itself.
     ///
-    /// A backend server may come back under its name and address within milliseconds, and
-    /// carries out a start that was meant for its former life. Only a list of the former life
-    /// proves that a run was there and is gone; the task of any other would start elsewhere
-    /// while it runs here.
-    fn end_listed(&mut self, now_ms: u64) {
+    /// A backend server may restart with the same name and address within milliseconds, and then
+    /// executes starts that were meant for its former incarnation. Only runs that a listing of the
+    /// former incarnation has shown are known to have ended. Any other run may be running in the
+    /// later incarnation, and ending it here would let its task start elsewhere at the same time;
+    /// it is stopped at the later incarnation instead.
+    fn supersede_incarnation(&mut self, now_ms: u64) {
         let unsure: Vec<_> = self
             .runs
-            .extract_if(|_, run| run.place.is_none() && !run.is_listed)
+            .extract_if(|_, run| run.queued.is_none() && !run.was_listed)
             .collect();
-        self.end_life(now_ms, "a later life announced itself");
+        self.end_incarnation(now_ms, "a later incarnation announced itself");
         for (id, mut run) in unsure {
-            log::info!(event = "run.unsure", run:% = id, owner:% = run.owner; "may have started in the later life; to be stopped there");
-            run.settled_ms = None;
+            log::info!(event = "run.unsure", run:% = id, owner:% = run.owner; "the run may have started in the later incarnation; stopping it there");
+            run.settled_at_ms = None;
             run.stop = None;
             run.must_stop = true;
             self.runs.insert(id, run);
         }
     }
 
-    /// Nothing of the life that was known so far runs any more.
-    fn end_life(&mut self, now_ms: u64, why: &'static str) {
-        log::warn!(event = "backend.life_over", runs = self.runs.len(), why = why; "its runs are over");
+    /// Ends all runs of the current incarnation of the backend server.
+    fn end_incarnation(&mut self, now_ms: u64, why: &'static str) {
+        log::warn!(event = "backend.life_over", runs = self.runs.len(), why = why; "none of the runs can still be running at the backend server; ending all of them");
         let ids: Vec<_> = self.runs.keys().cloned().collect();
         for id in ids {
             self.end(now_ms, &id, messages::RunOutcome::Stopped);
         }
-        self.clock = backend_clock::BackendClock::default();
-        self.acked = 0;
-        self.is_clean = false;
-        self.listed_asked_ms = now_ms;
+        self.backend_clock = backend_clock::BackendClock::default();
+        self.acked_end = 0;
+        self.is_reconciled = false;
+        self.listing_sent_at_ms = now_ms;
     }
 
-    /// The latest that was told of what operators ask for.
+    /// Returns the latest notice of directives.
     pub const fn latest(&self) -> &directives::Notice {
         self.latest.get()
     }
 
     fn update_directives(&mut self, watch: &messages::Watch) {
-        let is_news = watch
+        let is_newer = watch
             .notice
             .as_ref()
             .is_some_and(|notice| self.latest.update(notice));
         let version = self.latest.get().version;
         if version > 0 && watch.configuration == version && watch.address.is_some() {
-            self.holder.clone_from(&watch.address);
-        } else if is_news {
-            self.holder = None;
+            self.configuration_holder.clone_from(&watch.address);
+        } else if is_newer {
+            self.configuration_holder = None;
         }
     }
 
-    /// An entry asks; its lease is renewed, and what it no longer wants is stopped.
+    /// Handles a watch: renews the entry's lease and stops the runs that it no longer wants.
     pub fn watch(&mut self, now_ms: u64, watch: &messages::Watch) -> Vec<Action> {
         let mut actions = self.tick(now_ms);
         self.update_directives(watch);
         let owner = self.owners.entry(watch.entry).or_default();
-        let is_meant = watch.runner == Some(self.me);
-        if !is_meant {
+        let is_current = watch.runner == Some(self.me);
+        if !is_current {
             owner.has_update = true;
             return actions;
         }
-        owner.hear(now_ms, watch);
-        let is_unwanted = |(id, run): &(&messages::RunId, &Run)| {
-            run.owner == watch.entry && run.stop.is_none() && owner.is_unwanted(run.order, id)
+        owner.apply_watch(now_ms, watch);
+        let is_withdrawn = |(id, run): &(&messages::RunId, &Run)| {
+            run.owner == watch.entry
+                && run.stop.is_none()
+                && owner.is_withdrawn(run.order_number, id)
         };
-        let unwanted = self.runs.iter().filter(is_unwanted);
-        let unwanted: Vec<_> = unwanted.map(|(id, _)| id.clone()).collect();
-        for id in unwanted {
+        let withdrawn = self.runs.iter().filter(is_withdrawn);
+        let withdrawn: Vec<_> = withdrawn.map(|(id, _)| id.clone()).collect();
+        for id in withdrawn {
             actions.extend(self.stop(now_ms, &id, "unwanted"));
         }
         actions
     }
 
-    /// Whether an entry that waits has something to be told.
+    /// Returns whether there is an update for the entry, so that its watch should be answered.
     pub fn has_update(&self, entry: ids::Incarnation) -> bool {
         let Some(owner) = self.owners.get(&entry) else {
             return true;
@@ -308,7 +319,7 @@
         owner.has_update || self.latest.get().position > owner.directives_position
     }
 
-    /// What an entry is told.
+    /// Returns the answer to the entry's watch.
     pub fn report(&mut self, now_ms: u64, entry: ids::Incarnation) -> messages::Report {
         self.sequence += 1;
         let load = self.load(now_ms);
@@ -316,15 +327,15 @@
         let (mut held, mut waiting) = (Vec::new(), Vec::new());
         for (id, run) in runs {
             held.push(id.clone());
-            if run.place.is_some() {
+            if run.queued.is_some() {
                 waiting.push(id.clone());
             }
         }
         let owner = self.owners.entry(entry).or_default();
         owner.has_update = false;
-        owner.told_ms = now_ms;
-        let is_lacking = owner.configuration < self.latest.get().version;
-        let holder = self.holder.clone().filter(|_| is_lacking);
+        owner.reported_at_ms = now_ms;
+        let is_outdated = owner.configuration < self.latest.get().version;
+        let holder = self.configuration_holder.clone().filter(|_| is_outdated);
         messages::Report {
             version: wire::VERSION,
             runner: self.me,
@@ -340,7 +351,7 @@
         }
     }
 
-    /// The room and who the backend server is.
+    /// Returns the capacity and the description of the backend server.
     pub fn load(&self, now_ms: u64) -> messages::Load {
         let Some(backend) = &self.backend else {
             return messages::Load {
@@ -352,21 +363,22 @@
             readiness: self.readiness(now_ms),
             size: backend.size,
             used: self.used,
-            line: self.line,
+            line: self.wait_queue,
             service: backend.service.clone(),
             zone: backend.zone.clone(),
             labels: sync::Arc::clone(&backend.labels),
         }
     }
 
-    /// How long a lease may last: until the entry heard longest ago must be given up.
+    /// Returns the longest lease that may be granted now: no lease may end later than
+    /// [`OWNER_LEASE_MS`] after any entry with started runs was last seen.
     fn lease_ms(&self, now_ms: u64) -> u64 {
-        let alive = self
+        let running_owners = self
             .runs
             .values()
-            .filter(|run| run.place.is_none())
+            .filter(|run| run.queued.is_none())
             .filter_map(|run| self.owners.get(&run.owner));
-        let oldest_ms = alive
+        let oldest_ms = running_owners
             .map(owners::Owner::alive_at_ms)
             .min()
             .unwrap_or(now_ms);
@@ -375,7 +387,7 @@
             .min(LEASE_MS)
     }
 
-    /// The backend server answered a start, or didn't.
+    /// Handles the answer to a start, or its absence.
     pub fn start_answered(
         &mut self,
         now_ms: u64,
@@ -390,40 +402,42 @@
             ports::StartAnswer::Lost => self.call_timeout.record_timeout(),
             _ => self
                 .call_timeout
-                .record_response(now_ms.saturating_sub(run.ordered_ms)),
+                .record_response(now_ms.saturating_sub(run.ordered_at_ms)),
         }
         match answer {
-            ports::StartAnswer::Started => run.settled_ms = Some(now_ms),
+            ports::StartAnswer::Started => run.settled_at_ms = Some(now_ms),
             ports::StartAnswer::Refused(why) => {
-                log::warn!(event = "run.refused", run:% = id, why:? = why; "not started");
+                log::warn!(event = "run.refused", run:% = id, why:? = why; "backend server refused to start the run; returning it to its entry");
                 self.end(now_ms, id, messages::RunOutcome::NotStarted);
             }
-            // It may start any time until its lease is over; a stop that is noted keeps
-            // it from starting.
+            // The run may start at any time until its lease expires, unless the backend server
+            // acknowledges a stop.
             ports::StartAnswer::Lost => actions.extend(self.stop(now_ms, id, "start unanswered")),
         }
         actions
     }
 
+    /// Returns a run in the wait queue to its entry, or returns the call that stops a started run,
+    /// unless the last such call was sent less than [`STOP_RETRY_MS`] ago.
     fn stop(&mut self, now_ms: u64, id: &messages::RunId, why: &'static str) -> Option<Action> {
         let incarnation = self.backend.as_ref()?.incarnation.clone();
         let run = self.runs.get_mut(id)?;
-        if run.place.is_some() {
+        if run.queued.is_some() {
             self.end(now_ms, id, messages::RunOutcome::NotStarted);
             return None;
         }
         if run
             .stop
-            .is_some_and(|stop| now_ms < stop.called_ms + STOP_AGAIN_MS)
+            .is_some_and(|stop| now_ms < stop.sent_at_ms + STOP_RETRY_MS)
         {
             return None;
         }
         if run.stop.is_none() {
-            let age_ms = now_ms.saturating_sub(run.ordered_ms);
-            log::info!(event = "run.stop", run:% = id, owner:% = run.owner, why = why, age_ms = age_ms; "stopping");
+            let age_ms = now_ms.saturating_sub(run.ordered_at_ms);
+            log::info!(event = "run.stop", run:% = id, owner:% = run.owner, why = why, age_ms = age_ms; "stopping the run");
         }
         run.stop = Some(Stop {
-            called_ms: now_ms,
+            sent_at_ms: now_ms,
             is_acknowledged: false,
         });
         Some(Action::Stop(ports::StopCall {
@@ -434,7 +448,7 @@
         }))
     }
 
-    /// The backend server noted a stop, or wasn't heard.
+    /// Handles the answer to a stop, or its absence.
     pub fn stop_answered(&mut self, now_ms: u64, id: &messages::RunId, is_acknowledged: bool) {
         let Some(run) = self.runs.get_mut(id) else {
             return;
@@ -444,29 +458,31 @@
         {
             stop.is_acknowledged = true;
             self.call_timeout
-                .record_response(now_ms.saturating_sub(stop.called_ms));
-            run.settled_ms = Some(run.settled_ms.unwrap_or(now_ms).max(now_ms));
+                .record_response(now_ms.saturating_sub(stop.sent_at_ms));
+            run.settled_at_ms = Some(run.settled_at_ms.unwrap_or(now_ms).max(now_ms));
         }
     }
 
+    /// Ends a run: releases its capacity or its place in the wait queue, and schedules a report to
+    /// its entry and to all entries that wait for capacity.
     fn end(&mut self, now_ms: u64, id: &messages::RunId, how: messages::RunOutcome) {
         let Some(run) = self.runs.remove(id) else {
             return;
         };
-        let how = if let Some(place) = &run.place {
-            self.line.subtract(place.class(), run.need.cpu_milli);
+        let how = if let Some(queued) = &run.queued {
+            self.wait_queue.subtract(queued.class(), run.need.cpu_milli);
             messages::RunOutcome::NotStarted
         } else {
             self.used = self.used.minus(&run.need);
             how
         };
-        let ran_ms = now_ms.saturating_sub(run.ordered_ms);
-        log::info!(event = "run.end", run:% = id, owner:% = run.owner, how:? = how, ran_ms = ran_ms, used_milli = self.used.cpu_milli; "ended");
+        let ran_ms = now_ms.saturating_sub(run.ordered_at_ms);
+        log::info!(event = "run.end", run:% = id, owner:% = run.owner, how:? = how, ran_ms = ran_ms, used_milli = self.used.cpu_milli; "run ended");
         if let Some(owner) = self.owners.get_mut(&run.owner) {
             owner.push_end(id.clone(), how, ran_ms);
         }
         for owner in self.owners.values_mut() {
-            owner.has_update |= owner.wants_room;
+            owner.has_update |= owner.wants_capacity;
         }
     }
 }
--- a/src/leased/capacity/orders.rs
+++ b/src/leased/capacity/orders.rs
@@ -1,4 +1,4 @@
-//! What a runner makes of an entry's orders: refused, started, or put into the line.
+//! How a runner handles orders: each run is refused, started or queued.
 
 use crate::ids;
 use crate::leased::capacity;
@@ -8,7 +8,7 @@
 use crate::wire;
 
 impl capacity::CapacityManager {
-    /// An entry orders runs.
+    /// Handles an order; returns the reply and the calls to make.
     pub fn order(
         &mut self,
         now_ms: u64,
@@ -18,12 +18,12 @@
         let mut refused = Vec::new();
         let is_late = order.runner != self.me || order.valid_until_ms < now_ms;
         let owner = self.owners.entry(order.entry).or_default();
-        let is_repeat = owner.note_order(now_ms, order.number);
+        let is_repeat = owner.record_order(now_ms, order.number);
         if !is_late {
-            owner.hear_order(now_ms, order.alive_at_ms);
+            owner.renew(now_ms, order.alive_at_ms);
         }
         for start in order.starts {
-            if self.has_taken_in(order.entry, &start.id) {
+            if self.is_accepted(order.entry, &start.id) {
                 continue;
             }
             let id = start.id.clone();
@@ -36,7 +36,7 @@
             };
             match refusal {
                 Some(why) => refused.push((id, why)),
-                None => actions.extend(self.admit(now_ms, order.entry, order.number, start)),
+                None => actions.extend(self.accept(now_ms, order.entry, order.number, start)),
             }
         }
         for id in &order.stops {
@@ -45,7 +45,7 @@
                 .get(id)
                 .is_some_and(|run| run.owner == order.entry);
             if is_owned {
-                actions.extend(self.stop(now_ms, id, "taken back"));
+                actions.extend(self.stop(now_ms, id, "withdrawn"));
             }
         }
         self.sequence += 1;
@@ -60,12 +60,11 @@
         (reply, actions)
     }
 
-    /// Whether a run of an order that is here for the second time goes on, or has ended and
-    /// the entry has yet to acknowledge it.
+    /// Returns whether the entry's run is already held, or has ended and awaits acknowledgement.
     ///
-    /// An entry that had no answer sends its order again; told that such a run was refused,
-    /// it would start the task elsewhere.
-    fn has_taken_in(&self, entry: ids::Incarnation, id: &messages::RunId) -> bool {
+    /// An entry that receives no answer resends its order. If such a run were reported as refused,
+    /// the entry would start the task elsewhere.
+    fn is_accepted(&self, entry: ids::Incarnation, id: &messages::RunId) -> bool {
         let is_held = self.runs.get(id).is_some_and(|run| run.owner == entry);
         let owner = self.owners.get(&entry);
         is_held || owner.is_some_and(|owner| owner.has_end(id))
@@ -82,7 +81,7 @@
         if owner.alive_at_ms() + capacity::OWNER_TIMEOUT_MS < now_ms {
             return Some(messages::Refusal::Late);
         }
-        if owner.is_unwanted(number, &start.id) {
+        if owner.is_withdrawn(number, &start.id) {
             return Some(messages::Refusal::Unwanted);
         }
         if self.readiness(now_ms) != messages::Readiness::Ready {
@@ -92,58 +91,63 @@
         if self.latest.is_zone_out(&backend.zone) {
             return Some(messages::Refusal::ZoneOut);
         }
-        // A task has one run at a time, also while the caller's repeat came by another entry.
+        // A task has one run at a time, even if the caller resends the job to another entry.
         if self.runs.keys().any(|held| held.is_same_task(&start.id)) {
             return Some(messages::Refusal::Unwanted);
         }
         let free = backend.size.minus(&self.used);
-        let has_place =
-            start.need.fits_in(&free) || self.has_line_for(now_ms, start, &backend.size);
-        (!has_place).then_some(messages::Refusal::Room)
+        let has_capacity =
+            start.need.fits_in(&free) || self.may_queue(now_ms, start, &backend.size);
+        (!has_capacity).then_some(messages::Refusal::Room)
     }
 
-    fn admit(
+    fn accept(
         &mut self,
         now_ms: u64,
         owner: ids::Incarnation,
-        order: u64,
+        order_number: u64,
         start: messages::Start,
     ) -> Option<capacity::Action> {
         let size = self.backend.as_ref()?.size;
         let (id, need) = (start.id.clone(), start.need);
-        self.line.add(start.wait.class, need.cpu_milli);
+        self.wait_queue.add(start.wait.class, need.cpu_milli);
         let run = capacity::Run {
             owner,
-            order,
+            order_number,
             need,
-            ordered_ms: now_ms,
-            place: Some(wait_queue::Place::new(now_ms, start)),
-            is_listed: false,
+            ordered_at_ms: now_ms,
+            queued: Some(wait_queue::QueuedStart::new(now_ms, start)),
+            was_listed: false,
             must_stop: false,
-            settled_ms: None,
+            settled_at_ms: None,
             stop: None,
         };
         self.runs.insert(id.clone(), run);
         if need.fits_in(&size.minus(&self.used)) {
-            return self.begin(now_ms, &id);
+            return self.start_run(now_ms, &id);
         }
-        log::info!(event = "run.wait", run:% = id, owner:% = owner, cpu_milli = need.cpu_milli, used_milli = self.used.cpu_milli, line_milli = self.line.total_milli(); "waits for room");
-        self.shorten_line(now_ms, &size);
+        log::info!(event = "run.wait", run:% = id, owner:% = owner, cpu_milli = need.cpu_milli, used_milli = self.used.cpu_milli, line_milli = self.wait_queue.total_milli(); "queued until capacity is free");
+        self.trim_queue(now_ms, &size);
         None
     }
 
-    /// Starts a run that has room now.
-    pub(super) fn begin(&mut self, now_ms: u64, id: &messages::RunId) -> Option<capacity::Action> {
+    /// Starts a run that fits in the free capacity.
+    pub(super) fn start_run(
+        &mut self,
+        now_ms: u64,
+        id: &messages::RunId,
+    ) -> Option<capacity::Action> {
         let incarnation = self.backend.as_ref()?.incarnation.clone();
         let run = self.runs.get_mut(id)?;
-        let start = run.place.take()?.start;
-        let waited_ms = now_ms.saturating_sub(run.ordered_ms);
-        run.ordered_ms = now_ms;
+        let start = run.queued.take()?.start;
+        let waited_ms = now_ms.saturating_sub(run.ordered_at_ms);
+        run.ordered_at_ms = now_ms;
         let owner = run.owner;
-        self.line.subtract(start.wait.class, start.need.cpu_milli);
+        self.wait_queue
+            .subtract(start.wait.class, start.need.cpu_milli);
         self.used = self.used.plus(&start.need);
-        let lease_until_ms = self.clock.grant(now_ms, self.lease_ms(now_ms));
-        log::info!(event = "run.start", run:% = start.id, owner:% = owner, waited_ms = waited_ms, cpu_milli = start.need.cpu_milli, used_milli = self.used.cpu_milli; "starting");
+        let lease_until_ms = self.backend_clock.grant(now_ms, self.lease_ms(now_ms));
+        log::info!(event = "run.start", run:% = start.id, owner:% = owner, waited_ms = waited_ms, cpu_milli = start.need.cpu_milli, used_milli = self.used.cpu_milli; "starting the run");
         Some(capacity::Action::Start(ports::StartCall {
             start,
             incarnation,
--- a/src/leased/capacity/wait_queue.rs
+++ b/src/leased/capacity/wait_queue.rs
@@ -1,44 +1,44 @@
-//! Runs that wait at a runner for room.
+//! Runs that wait at a runner for capacity.
 //!
-//! Load that this answers: about as much work as room, ordered by several entries. An entry
-//! learns of room that came free up to a watch later, and other entries' orders are there
-//! first; runs go back and forth, and room stands empty meanwhile. Here a run waits where the
-//! room comes free, the one that must start soonest goes first whichever entry sent it, and
-//! it starts in the moment in which another ends.
+//! When several entries order about as much work as a backend server can run, an entry learns
+//! of freed capacity up to one watch later, by which time the orders of other entries have taken
+//! it. Runs are then refused again and again while capacity stays idle. With a queue at the
+//! runner, the most urgent run starts as soon as another one ends, whichever entry ordered it.
 //!
-//! Only urgent runs join; see [`crate::leased::dispatch::urgency::wait`]. The line is short, so
-//! that nothing waits where it would be late while another runner has room. A run that is more urgent than what fills the line takes the place of the least
-//! urgent one, which goes back to its entry unstarted. Otherwise long jobs that have time in
-//! hand fill every line, and the last task of a short one finds no place until it is late.
+//! Only urgent runs are queued; see [`crate::leased::dispatch::urgency::wait`]. The queue is
+//! short, so that no run becomes late in it while another runner has free capacity. A more urgent
+//! run displaces the least urgent ones, which are returned to their entries as not started;
+//! otherwise long jobs with time to spare would fill every queue, and the last task of a short
+//! job would not be accepted anywhere until it is late.
 
 use crate::leased::capacity;
 use crate::leased::messages;
 use crate::wire;
 
-/// Part of the backend server's size that may wait, as a divisor: two or three tasks beside
-/// ten that run, of which one ends every few tens of milliseconds.
+/// Divisor of the backend server's cores that gives the length of the queue: two or three tasks
+/// beside ten running ones, of which one ends every few tens of milliseconds.
 pub const WAIT_QUEUE_CPU_DIVISOR: u32 = 4;
 
-/// A job's class, and when its run should start; the least goes first.
+/// Urgency class of the job and time by which the run should start; the smallest goes first.
 type Urgency = (u8, u64);
 
 const fn urgency(now_ms: u64, start: &messages::Start) -> Urgency {
-    let should_start_ms = now_ms.saturating_add(start.wait.start_within_ms);
-    (start.wait.class, should_start_ms)
+    let start_by_ms = now_ms.saturating_add(start.wait.start_within_ms);
+    (start.wait.class, start_by_ms)
 }
 
-/// A run's place in the line.
+/// A run in the queue.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// What to start.
+pub struct QueuedStart {
+    /// The run to start.
     pub start: messages::Start,
     urgency: Urgency,
-    /// After this it is given back to its entry.
+    /// Time after which the run is returned to its entry.
     until_ms: u64,
 }
 
-impl Place {
-    /// A place from now on.
+impl QueuedStart {
+    /// Queues a run from now on.
     pub const fn new(now_ms: u64, start: messages::Start) -> Self {
         Self {
             urgency: urgency(now_ms, &start),
@@ -47,74 +47,81 @@
         }
     }
 
-    /// Its job's class.
+    /// Returns the urgency class of the job.
     pub const fn class(&self) -> u8 {
         self.start.wait.class
     }
 }
 
 impl capacity::CapacityManager {
-    /// Whether a run that finds no room may wait for it: what is less urgent doesn't count.
-    pub(super) fn has_line_for(
+    /// Returns whether a run that does not fit now may be queued; less urgent runs do not count.
+    pub(super) fn may_queue(
         &self,
         now_ms: u64,
         start: &messages::Start,
         size: &wire::Resources,
     ) -> bool {
         let urgency = urgency(now_ms, start);
-        let places = self.runs.values().filter_map(|run| run.place.as_ref());
-        let ahead = places.filter(|place| place.urgency <= urgency);
-        let ahead_milli: u32 = ahead.map(|place| place.start.need.cpu_milli).sum();
+        let queued = self.runs.values().filter_map(|run| run.queued.as_ref());
+        let ahead = queued.filter(|waiting| waiting.urgency <= urgency);
+        let ahead_milli: u32 = ahead.map(|waiting| waiting.start.need.cpu_milli).sum();
         start.wait.most_ms > 0
             && start.need.fits_in(size)
             && ahead_milli.saturating_add(start.need.cpu_milli)
                 <= size.cpu_milli / WAIT_QUEUE_CPU_DIVISOR
     }
 
-    /// Gives the least urgent runs back until the line is as short as it has to be.
-    pub(super) fn shorten_line(&mut self, now_ms: u64, size: &wire::Resources) {
-        while self.line.total_milli() > size.cpu_milli / WAIT_QUEUE_CPU_DIVISOR {
+    /// Returns the least urgent runs to their entries until the queue is within its limit.
+    pub(super) fn trim_queue(&mut self, now_ms: u64, size: &wire::Resources) {
+        while self.wait_queue.total_milli() > size.cpu_milli / WAIT_QUEUE_CPU_DIVISOR {
             let Some(id) = self.least_urgent() else {
                 return;
             };
-            log::info!(event = "run.displaced", run:% = id, line_milli = self.line.total_milli(), size_milli = size.cpu_milli; "its place goes to a more urgent run");
+            log::info!(event = "run.displaced", run:% = id, line_milli = self.wait_queue.total_milli(), size_milli = size.cpu_milli; "returning the run to its entry: a more urgent run takes its place in the wait queue");
             self.end(now_ms, &id, messages::RunOutcome::NotStarted);
         }
     }
 
     fn least_urgent(&self) -> Option<messages::RunId> {
-        let places = self
+        let queued = self
             .runs
             .iter()
-            .filter_map(|(id, run)| Some((run.place.as_ref()?.urgency, id)));
-        places.max().map(|(_, id)| id.clone())
+            .filter_map(|(id, run)| Some((run.queued.as_ref()?.urgency, id)));
+        queued.max().map(|(_, id)| id.clone())
     }
 
-    /// Starts what waits and has room now, the most urgent first; gives back what waited for
-    /// too long, and everything while nothing may start.
+    /// Starts the queued runs that fit, the most urgent first. Returns runs that have waited too
+    /// long to their entries, and all runs if none may start.
     ///
-    /// One that doesn't fit yet is passed over, so that no room stands empty for it; its wait
-    /// is bounded all the same.
-    pub(super) fn serve_line(&mut self, now_ms: u64) -> Vec<capacity::Action> {
+    /// A run that does not fit yet is skipped, so that capacity is not reserved for it; its wait
+    /// is bounded in any case.
+    pub(super) fn start_queued(&mut self, now_ms: u64) -> Vec<capacity::Action> {
         let Some(backend) = &self.backend else {
             return Vec::new();
         };
         let size = backend.size;
-        let is_open = self.readiness(now_ms) == messages::Readiness::Ready
+        let may_start = self.readiness(now_ms) == messages::Readiness::Ready
             && !self.latest.is_zone_out(&backend.zone);
-        let mut line: Vec<_> = self
+        let mut queue: Vec<_> = self
             .runs
             .iter()
-            .filter_map(|(id, run)| Some((run.place.as_ref()?, id)))
-            .map(|(place, id)| (place.urgency, place.until_ms, place.start.need, id.clone()))
+            .filter_map(|(id, run)| Some((run.queued.as_ref()?, id)))
+            .map(|(queued, id)| {
+                (
+                    queued.urgency,
+                    queued.until_ms,
+                    queued.start.need,
+                    id.clone(),
+                )
+            })
             .collect();
-        line.sort_by(|one, other| (one.0, &one.3).cmp(&(other.0, &other.3)));
+        queue.sort_by(|one, other| (one.0, &one.3).cmp(&(other.0, &other.3)));
         let mut actions = Vec::new();
-        for (_, until_ms, need, id) in line {
-            if !is_open || now_ms > until_ms {
+        for (_, until_ms, need, id) in queue {
+            if !may_start || now_ms > until_ms {
                 self.end(now_ms, &id, messages::RunOutcome::NotStarted);
             } else if need.fits_in(&size.minus(&self.used)) {
-                actions.extend(self.begin(now_ms, &id));
+                actions.extend(self.start_run(now_ms, &id));
             }
         }
         actions
