--- a/tests/unit/leased.rs
+++ b/tests/unit/leased.rs
@@ -1,4 +1,4 @@
-//! Runs under leases: the runner's room, the entry's decisions, and what passes between.
+//! Runs under leases: decisions of runners and entries, and the messages between them.
 
 mod call_timeout;
 mod capacity;
--- a/tests/unit/leased/fixtures.rs
+++ b/tests/unit/leased/fixtures.rs
@@ -1,4 +1,4 @@
-//! Jobs, queues, backend servers and messages for the tests.
+//! Jobs, queues, backend servers and messages for the tests of runs under leases.
 
 use smol_str::SmolStr;
 
@@ -11,13 +11,13 @@
 use bulrushtiller::leased::queues;
 use bulrushtiller::wire;
 
-/// A moment well after every clock's beginning.
+/// A time well after the start of every clock.
 pub const START_MS: u64 = 1_000_000;
 
 /// The runner under test.
 pub const RUNNER: ids::Incarnation = ids::Incarnation(7);
 
-/// The entry that orders.
+/// The entry that sends orders.
 pub const ENTRY: ids::Incarnation = ids::Incarnation(1);
 
 /// Another entry.
@@ -55,7 +55,7 @@
     }
 }
 
-/// A configuration of so many queues.
+/// Returns a configuration of `queues` queues.
 pub fn large_directives(position: u64, queues: usize) -> directives::Directives {
     let named = |at: usize| queues::Queue {
         name: smol_str::format_smolstr!("added-{at}"),
@@ -68,7 +68,7 @@
     }
 }
 
-/// What goes along with messages of directives in which a zone is out.
+/// Returns the notice of directives in which one availability zone is out of service.
 pub fn notice(position: u64, zone_out: &str) -> directives::Notice {
     directives::Notice {
         zones_out: vec![SmolStr::new(zone_out)],
@@ -76,7 +76,7 @@
     }
 }
 
-/// A job of one step.
+/// Returns a job of one step.
 pub fn job(id: u64, tasks: u32, cpu_milli: u32, estimate_ms: u64) -> job::Job {
     let raw = job::RawJob {
         id: smol_str::format_smolstr!("{id:016x}"),
@@ -89,7 +89,7 @@
         }],
         not_offered: None,
     };
-    job::Job::try_from(raw).expect("a good job")
+    job::Job::try_from(raw).expect("a valid job")
 }
 
 pub fn run_id(job: u64, index: u32, run: u32) -> messages::RunId {
@@ -145,14 +145,14 @@
     })
 }
 
-/// A runner that takes work at [`START_MS`], with a backend server of 16 cores whose clock
-/// shows 5,000 ms then.
+/// Returns a runner that is ready at [`START_MS`], with a backend server of 16 cores whose clock
+/// shows 5,000 ms at that time.
 pub fn ready_manager() -> capacity::CapacityManager {
-    let mut room = capacity::CapacityManager::new(RUNNER, 10);
-    room.announced(START_MS, announcement(100, 1));
-    room.next_list(START_MS);
-    room.listed(START_MS, START_MS, listing(5_000, &[]));
-    room
+    let mut manager = capacity::CapacityManager::new(RUNNER, 10);
+    manager.announced(START_MS, announcement(100, 1));
+    manager.next_list(START_MS);
+    manager.listed(START_MS, START_MS, listing(5_000, &[]));
+    manager
 }
 
 pub fn watch(
@@ -202,22 +202,22 @@
     }
 }
 
-/// A line of one class.
-pub fn line(class: u8, cpu_milli: u32) -> messages::WaitQueue {
-    let mut line = messages::WaitQueue::default();
-    line.add(class, cpu_milli);
-    line
+/// Returns a wait queue of one class.
+pub fn wait_queue(class: u8, cpu_milli: u32) -> messages::WaitQueue {
+    let mut queued = messages::WaitQueue::default();
+    queued.add(class, cpu_milli);
+    queued
 }
 
-/// The load of a runner of 16 cores; while anything runs there, its line is full of jobs that
-/// have begun.
+/// Returns the load of a runner of 16 cores. While anything runs there, its wait queue is full of
+/// the most urgent class.
 pub fn load(used_milli: u32) -> messages::Load {
-    let line_milli = if used_milli > 0 { 4_000 } else { 0 };
+    let waiting_milli = if used_milli > 0 { 4_000 } else { 0 };
     messages::Load {
         readiness: messages::Readiness::Ready,
         size: cores(16_000),
         used: cores(used_milli),
-        line: line(0, line_milli),
+        line: wait_queue(0, waiting_milli),
         service: SmolStr::new("taipa"),
         zone: SmolStr::new("bento"),
         labels: [SmolStr::new("r1-1")].into(),
@@ -251,7 +251,7 @@
     }
 }
 
-/// Starts that a runner has to send.
+/// Returns the start calls among the actions.
 pub fn started(actions: &[capacity::Action]) -> Vec<ports::StartCall> {
     let start = |action: &capacity::Action| match action {
         capacity::Action::Start(call) => Some(call.clone()),
@@ -260,7 +260,7 @@
     actions.iter().filter_map(start).collect()
 }
 
-/// Runs that it has to stop.
+/// Returns the runs of the stop calls among the actions.
 pub fn stopped(actions: &[capacity::Action]) -> Vec<messages::RunId> {
     let stop = |action: &capacity::Action| match action {
         capacity::Action::Stop(call) => Some(call.id.clone()),
--- a/tests/unit/leased/simulation/faults.rs
+++ b/tests/unit/leased/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a play, drawn from a seed.
+//! Faults of a simulation, drawn from a seed.
 
 use rand::Rng as _;
 use rand::SeedableRng as _;
@@ -6,97 +6,102 @@
 
 use super::site;
 
-/// How many ways are cut, and how many entries are lost.
+/// Number of link cuts and of entry crashes.
 const CUTS: usize = 12;
-const LOSSES: usize = 4;
+const CRASHES: usize = 4;
 
-/// When troubles begin, from the start of a play, in milliseconds.
-const BEGINS: std::ops::Range<u64> = 500..8_000;
+/// When faults begin, in milliseconds from the start of the simulation.
+const START_RANGE_MS: std::ops::Range<u64> = 500..8_000;
 
-/// How long a way is cut, in milliseconds.
-const LASTS: std::ops::Range<u64> = 20..1_500;
+/// How long a link is cut, in milliseconds.
+const CUT_RANGE_MS: std::ops::Range<u64> = 20..1_500;
 
-/// A way between an entry and a runner.
+/// Direction of a message between an entry and a runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Way {
+pub enum Direction {
     /// Orders and watches.
     ToRunner,
-    /// Answers and reports.
+    /// Replies and reports.
     ToEntry,
 }
 
-/// One fault; times are milliseconds from the start of the play.
+/// A fault; times are in milliseconds from the start of the simulation.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
-    /// Messages are lost.
+pub enum Fault {
+    /// The link between an entry and a runner loses all messages.
     Cut {
-        /// At this entry.
+        /// Index of the entry.
         entry: usize,
-        /// At this runner.
+        /// Index of the runner.
         runner: usize,
-        /// On this way; absent: on both.
-        way: Option<Way>,
-        /// From then on.
+        /// The direction that is cut; absent if both are.
+        direction: Option<Direction>,
+        /// Start of the cut.
         at_ms: u64,
-        /// Until then.
+        /// End of the cut.
         until_ms: u64,
     },
-    /// An entry dies.
-    Loss {
-        /// When.
+    /// An entry crashes.
+    Crash {
+        /// Time of the crash.
         at_ms: u64,
-        /// Which.
+        /// Index of the entry.
         entry: usize,
     },
 }
 
-impl Trouble {
-    /// Whether it cuts that way while it is on.
-    pub fn cuts(&self, at_entry: usize, at_runner: usize, on: Way) -> bool {
+impl Fault {
+    /// Returns whether this fault cuts the link in the given direction while it is active.
+    pub fn cuts(&self, at_entry: usize, at_runner: usize, on: Direction) -> bool {
         let Self::Cut {
-            entry, runner, way, ..
+            entry,
+            runner,
+            direction,
+            ..
         } = *self
         else {
             return false;
         };
-        entry == at_entry && runner == at_runner && way.is_none_or(|way| way == on)
+        entry == at_entry
+            && runner == at_runner
+            && direction.is_none_or(|direction| direction == on)
     }
 
-    /// Whether it is on.
-    pub const fn is_on(&self, now_ms: u64) -> bool {
+    /// Returns whether the fault is active.
+    pub const fn is_active(&self, now_ms: u64) -> bool {
         match *self {
             Self::Cut {
                 at_ms, until_ms, ..
             } => at_ms <= now_ms && now_ms < until_ms,
-            Self::Loss { .. } => false,
+            Self::Crash { .. } => false,
         }
     }
 }
 
-/// Draws the troubles of a seed.
-pub fn drawn(seed: u64, site: &site::Site) -> Vec<Trouble> {
+/// Returns the faults drawn from a seed.
+pub fn drawn(seed: u64, site: &site::Site) -> Vec<Fault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut troubles = Vec::new();
+    let mut faults = Vec::new();
     for _ in 0..CUTS {
-        let at_ms = rng.random_range(BEGINS);
-        let way = match rng.random_range(0..3) {
-            0 => Some(Way::ToRunner),
-            1 => Some(Way::ToEntry),
+        let at_ms = rng.random_range(START_RANGE_MS);
+        let direction = match rng.random_range(0..3) {
+            0 => Some(Direction::ToRunner),
+            1 => Some(Direction::ToEntry),
             _ => None,
         };
-        troubles.push(Trouble::Cut {
+        faults.push(Fault::Cut {
             entry: rng.random_range(0..site.entries),
             runner: rng.random_range(0..site.runners),
-            way,
+            direction,
             at_ms,
-            until_ms: at_ms + rng.random_range(LASTS),
+            until_ms: at_ms + rng.random_range(CUT_RANGE_MS),
         });
     }
-    for _ in 0..LOSSES {
-        troubles.push(Trouble::Loss {
-            at_ms: rng.random_range(BEGINS),
+    for _ in 0..CRASHES {
+        faults.push(Fault::Crash {
+            at_ms: rng.random_range(START_RANGE_MS),
             entry: rng.random_range(0..site.entries),
         });
     }
-    troubles
+    faults
 }
--- a/tests/unit/leased/simulation/mod.rs
+++ b/tests/unit/leased/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Load played through the decisions of entries and runners, judged by what callers get.
+//! Simulated load on the decisions of entries and runners, judged by the outcomes of the calls.
 
 mod faults;
 mod network;
@@ -10,115 +10,115 @@
 use bulrushtiller::leased::dispatch;
 use rstest::rstest;
 
-/// What became of the calls of one queue.
+/// Outcomes of the calls of one queue.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
-    asked: u32,
+struct Tally {
+    total: u32,
     in_time: u32,
     late: u32,
     not_run: u32,
 }
 
-impl Got {
+impl Tally {
     fn of(calls: &[world::Call], queue: &str) -> Self {
-        let mut got = Self::default();
-        let is_counted = |call: &&world::Call| call.queue == queue && !call.is_again;
+        let mut tally = Self::default();
+        let is_counted = |call: &&world::Call| call.queue == queue && !call.is_resent;
         for call in calls.iter().filter(is_counted) {
-            got.asked += 1;
+            tally.total += 1;
             match call.ended {
                 Some((at_ms, dispatch::Outcome::Completed)) if at_ms <= call.due_ms => {
-                    got.in_time += 1;
+                    tally.in_time += 1;
                 }
-                Some((_, dispatch::Outcome::Completed)) => got.late += 1,
-                Some((_, dispatch::Outcome::NotRun { .. })) => got.not_run += 1,
+                Some((_, dispatch::Outcome::Completed)) => tally.late += 1,
+                Some((_, dispatch::Outcome::NotRun { .. })) => tally.not_run += 1,
                 _ => {}
             }
         }
-        got
+        tally
     }
 
-    /// Part of the calls that were answered in time.
+    /// Returns the share of the calls that completed in time.
     fn share(self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.asked)
+        f64::from(self.in_time) / f64::from(self.total)
     }
 }
 
-/// For ten seconds there is a fifth more work than room: wide checks whose callers stand
-/// waiting, and narrow reports that have more time. Tasks of a check find room one by one,
-/// at several runners; while reports that came earlier fill the lines and begin in part, its
-/// last task starts too late, and the check was run in vain.
+/// Guards against wide jobs that are late during ten seconds of 20 % overload. The
+/// checks are wide and urgent, the reports narrow with more time. The tasks of a check find
+/// capacity one by one at several runners; if earlier reports fill the wait queues and start in
+/// part, the last task of the check starts too late and its other tasks have run in vain.
 #[test]
-fn urgent_wide_jobs_are_in_time_under_more_work_than_room() {
+fn urgent_wide_jobs_finish_in_time_under_overload() {
     let mut world = world::World::new(site::Site::default());
 
-    let calls = world.play(&workload::offered(1.2));
+    let calls = world.run(&workload::offered(1.2));
 
-    let (checks, reports) = (Got::of(&calls, "checks"), Got::of(&calls, "reports"));
-    // In time without precedence, displacing and whole beginnings: 0.54 of the checks and 0.82
-    // of the reports; with them 0.93 and 0.76, which is more of all calls.
+    let (checks, reports) = (Tally::of(&calls, "checks"), Tally::of(&calls, "reports"));
+    // Without precedence, displacement and starting jobs as a whole, 0.54 of the checks and 0.82
+    // of the reports are in time; with them 0.93 and 0.76, which is more of all calls.
     assert!(checks.share() >= 0.8, "{checks:?} {reports:?}");
     assert!(reports.share() >= 0.7, "{checks:?} {reports:?}");
     assert!(
-        checks.late + reports.late < calls_in_tenths(&calls),
+        checks.late + reports.late < tenth_of(&calls),
         "{checks:?} {reports:?}"
     );
 }
 
-/// With room for twice as much there is nothing to put first: everybody is served in time.
+/// At half load precedence must not delay or refuse any job.
 #[test]
-fn all_are_in_time_while_there_is_room() {
+fn jobs_finish_in_time_at_half_load() {
     let mut world = world::World::new(site::Site::default());
 
-    let calls = world.play(&workload::offered(0.5));
+    let calls = world.run(&workload::offered(0.5));
 
-    assert_nobody_refused(&calls, 0.97);
+    assert_none_refused(&calls, 0.97);
 }
 
-/// All callers of one second come again in the next, beside those that come for the first time
-/// and have room enough for themselves. Those who come again are late whatever is done; who
-/// comes for the first time gets its answer in time all the same.
+/// All callers of one second resend their jobs during the next, beside first submissions for
+/// which there is enough capacity. Resent jobs are late in any case and must not delay the first
+/// submissions.
 #[test]
-fn callers_who_come_again_don_t_make_others_late() {
+fn resent_jobs_do_not_delay_first_submissions() {
     let mut world = world::World::new(site::Site::default());
 
-    let calls = world.play(&workload::coming_again(0.8));
+    let calls = world.run(&workload::resent(0.8));
 
-    let (checks, reports) = (Got::of(&calls, "checks"), Got::of(&calls, "reports"));
+    let (checks, reports) = (Tally::of(&calls, "checks"), Tally::of(&calls, "reports"));
     let is_served = |call: &&world::Call| {
-        matches!(call.ended, Some((_, dispatch::Outcome::Completed))) && call.is_again
+        matches!(call.ended, Some((_, dispatch::Outcome::Completed))) && call.is_resent
     };
     assert!(checks.share() >= 0.9, "{checks:?} {reports:?}");
     assert!(reports.share() >= 0.9, "{checks:?} {reports:?}");
-    // Who came again is still served where room is left.
+    // Resent jobs still run where capacity is left.
     assert!(calls.iter().filter(is_served).count() > 10);
 }
 
-/// Backend servers leave one call in twenty without an answer, orders and lists alike, at a
-/// load that leaves a quarter of the room free. A runner that waits long for a list in vain
-/// hears of no end, takes its room for used, and callers are refused beside idle servers.
+/// Guards against jobs that are refused beside idle backend servers. Backend servers leave one
+/// call in twenty unanswered, starts and listings alike, at 75 % load. A runner that waits long
+/// for a lost listing receives no ends and counts free capacity as used.
 #[test]
-fn unanswered_calls_of_backend_servers_cost_few_callers_their_time() {
+fn unanswered_backend_calls_make_few_jobs_late() {
     let site = site::Site {
         unanswered_in_thousand: 55,
         ..site::Site::default()
     };
     let mut world = world::World::new(site);
 
-    let calls = world.play(&workload::offered(0.75));
+    let calls = world.run(&workload::offered(0.75));
 
-    let (checks, reports) = (Got::of(&calls, "checks"), Got::of(&calls, "reports"));
-    // In time with 50 ms for a start and 400 ms for a list: 0.08 of the checks and 0.26 of the
-    // reports; with limits that follow the answers 0.76 and 0.97.
+    let (checks, reports) = (Tally::of(&calls, "checks"), Tally::of(&calls, "reports"));
+    // With fixed time-outs of 50 ms for a start and 400 ms for a listing, 0.08 of the checks and
+    // 0.26 of the reports are in time; with adaptive time-outs 0.76 and 0.97.
     assert!(checks.share() >= 0.6, "{checks:?} {reports:?}");
     assert!(reports.share() >= 0.9, "{checks:?} {reports:?}");
     let refused = checks.not_run + reports.not_run;
-    assert!(refused < calls_in_tenths(&calls), "{checks:?} {reports:?}");
+    assert!(refused < tenth_of(&calls), "{checks:?} {reports:?}");
 }
 
-/// Guards against callers who are refused or late at the entries of one availability zone,
-/// beside room that these entries don't watch.
+/// Guards against jobs that are refused or late at the entries of one availability zone, beside
+/// free capacity at runners that these entries do not watch.
 #[test]
-fn entries_with_four_times_the_calls_find_room_beyond_what_they_watch() {
+fn entries_under_fourfold_load_use_runners_beyond_their_watch_set() {
     let site = site::Site {
         entries: 8,
         runners: 80,
@@ -127,14 +127,15 @@
     };
     let mut world = world::World::new(site);
 
-    let calls = world.play(&workload::uneven(&site, 0.75));
+    let calls = world.run(&workload::uneven(&site, 0.75));
 
-    assert_nobody_refused(&calls, 0.95);
+    assert_none_refused(&calls, 0.95);
 }
 
-/// Guards against tasks that stand in a line, as another entry was first, beside free room.
+/// Guards against tasks that wait at a runner where another entry's order arrived first, beside
+/// free capacity elsewhere.
 #[test]
-fn many_entries_with_old_views_make_few_checks_late_while_a_third_is_free() {
+fn checks_of_many_entries_finish_in_time_while_a_third_of_capacity_is_free() {
     let site = site::Site {
         entries: 12,
         runners: 24,
@@ -143,16 +144,16 @@
     };
     let mut world = world::World::new(site);
 
-    let calls = world.play(&workload::even(&site, 0.67));
+    let calls = world.run(&workload::even(&site, 0.67));
 
-    let checks = Got::of(&calls, "checks");
+    let checks = Tally::of(&calls, "checks");
     assert!(checks.share() >= 0.9, "{checks:?}");
 }
 
-/// Guards against runs that outlive their entry's word, and tasks that run twice at once, where
-/// watches open and close, ways are cut and entries die.
+/// Guards against runs that outlive the lease of their entry, and tasks that run twice at a time,
+/// while watches open and close, links are cut and entries crash.
 #[rstest]
-fn no_task_runs_twice_at_once_where_few_runners_are_watched(
+fn no_task_runs_twice_at_a_time_under_faults(
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
     #[values(1, 2, 24)] watch_set: usize,
 ) {
@@ -165,17 +166,17 @@
     };
     let mut world = world::World::new(site);
 
-    let troubles = faults::drawn(seed, &site);
-    let calls = world.play_under(&workload::long(&site, 0.6), troubles);
+    let faults = faults::drawn(seed, &site);
+    let calls = world.run_with_faults(&workload::long(&site, 0.6), faults);
 
     assert!(world.overlaps.is_empty(), "{:?}", world.overlaps);
     let has_answer = |call: &&world::Call| call.ended.is_some();
     assert_eq!(calls.iter().filter(has_answer).count(), calls.len());
 }
 
-/// Guards against entries that find their runners no more once cuts and losses are over.
+/// Guards against entries that do not find their runners again after cut links and crashes.
 #[rstest]
-fn callers_are_served_again_once_ways_and_entries_are_back(
+fn jobs_complete_again_after_links_and_entries_recover(
     #[values(1, 2, 3)] seed: u64,
     #[values(1, 24)] watch_set: usize,
 ) {
@@ -188,8 +189,8 @@
     };
     let mut world = world::World::new(site);
 
-    let troubles = faults::drawn(seed, &site);
-    let calls = world.play_under(&workload::even(&site, 0.6), troubles);
+    let faults = faults::drawn(seed, &site);
+    let calls = world.run_with_faults(&workload::even(&site, 0.6), faults);
 
     let after = &calls[calls.len() - calls.len() / 10..];
     let is_served =
@@ -197,15 +198,15 @@
     assert!(after.iter().filter(is_served).count() * 10 >= after.len() * 9);
 }
 
-/// Of each queue's calls at least this part is in time, and none is refused.
-fn assert_nobody_refused(calls: &[world::Call], least_in_time: f64) {
+/// Asserts that at least this share of the calls of each queue is in time, and none is refused.
+fn assert_none_refused(calls: &[world::Call], min_in_time: f64) {
     for queue in ["checks", "reports"] {
-        let got = Got::of(calls, queue);
-        assert!(got.share() >= least_in_time, "{queue}: {got:?}");
-        assert_eq!(got.not_run, 0, "{queue}: {got:?}");
+        let tally = Tally::of(calls, queue);
+        assert!(tally.share() >= min_in_time, "{queue}: {tally:?}");
+        assert_eq!(tally.not_run, 0, "{queue}: {tally:?}");
     }
 }
 
-fn calls_in_tenths(calls: &[world::Call]) -> u32 {
+fn tenth_of(calls: &[world::Call]) -> u32 {
     u32::try_from(calls.len() / 10).expect("a few thousand calls")
 }
--- a/tests/unit/leased/simulation/network.rs
+++ b/tests/unit/leased/simulation/network.rs
@@ -1,4 +1,4 @@
-//! Messages between entries and runners on their way, and what is done without an answer.
+//! Messages in flight between entries and runners, and time-outs of their answers.
 
 use bulrushtiller::ids;
 use bulrushtiller::leased::dispatch::runners;
@@ -6,47 +6,49 @@
 
 use super::faults;
 
-/// A message under way; a watch has a number, which its report repeats.
+/// A message; a watch has a number, which its report repeats.
 #[derive(Clone, Debug)]
 pub enum Message {
     Order(messages::Order),
     Watch(messages::Watch, u64),
-    Ordered(messages::Order, messages::OrderReply),
-    Reported(messages::Report, u64),
+    Reply(messages::Order, messages::OrderReply),
+    WatchAnswer(messages::Report, u64),
 }
 
 impl Message {
-    /// The way that it takes.
-    pub const fn way(&self) -> faults::Way {
+    /// Returns the direction in which the message is sent.
+    pub const fn direction(&self) -> faults::Direction {
         match self {
-            Self::Order(_) | Self::Watch(..) => faults::Way::ToRunner,
-            Self::Ordered(..) | Self::Reported(..) => faults::Way::ToEntry,
+            Self::Order(_) | Self::Watch(..) => faults::Direction::ToRunner,
+            Self::Reply(..) | Self::WatchAnswer(..) => faults::Direction::ToEntry,
         }
     }
 }
 
-/// What an entry does where an answer doesn't come.
+/// A call of an entry that may time out.
 #[derive(Clone, Debug)]
-pub enum Overdue {
+pub enum Pending {
     Watch(runners::RunnerKey, u64),
     Order(messages::Order),
-    OrderAgain(messages::Order),
+    ResentOrder(messages::Order),
 }
 
+/// The time-out of a call.
 #[derive(Clone, Debug)]
 pub struct Timer {
     pub at_ms: u64,
     pub entry: usize,
-    pub life: ids::Incarnation,
+    pub incarnation: ids::Incarnation,
     pub runner: usize,
-    pub overdue: Overdue,
+    pub pending: Pending,
 }
 
+/// A message in flight.
 #[derive(Clone, Debug)]
-pub struct Letter {
+pub struct InFlight {
     pub at_ms: u64,
     pub entry: usize,
-    pub life: ids::Incarnation,
+    pub incarnation: ids::Incarnation,
     pub runner: usize,
     pub message: Message,
 }
--- a/tests/unit/leased/simulation/site.rs
+++ b/tests/unit/leased/simulation/site.rs
@@ -1,4 +1,4 @@
-//! What differs from play to play.
+//! Parameters of a simulated site.
 
 use bulrushtiller::leased::dispatch::watching;
 use bulrushtiller::leased::ports;
@@ -7,20 +7,20 @@
 /// Cores of each backend server.
 const CORES: usize = 16;
 
-/// The size of a site, and how its backend servers answer.
+/// Size of a site, and how reliably its backend servers answer.
 #[derive(Clone, Copy, Debug)]
 pub struct Site {
-    /// Of a thousand calls to a backend server, how many get no answer.
+    /// Number of unanswered calls per thousand calls to a backend server.
     pub unanswered_in_thousand: u32,
-    /// Entries, which take turns in the availability zones.
+    /// Number of entries, distributed over the availability zones in turn.
     pub entries: usize,
-    /// Runners, which do so as well.
+    /// Number of runners, distributed over the availability zones in turn.
     pub runners: usize,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Thousandths of a core that each task takes.
+    /// Thousandths of a core that each task requires.
     pub task_milli: u32,
-    /// Runners that each entry watches in any case.
+    /// Number of ready runners that each entry always watches.
     pub watch_set: usize,
 }
 
@@ -38,17 +38,17 @@
 }
 
 impl Site {
-    /// Cores of all backend servers.
+    /// Returns the number of cores of all backend servers.
     pub fn cores(&self) -> f64 {
         (self.runners * CORES) as f64
     }
 
-    /// The availability zone of an entry or a runner.
+    /// Returns the availability zone of an entry or a runner.
     pub fn zone_of(&self, at: usize) -> SmolStr {
         smol_str::format_smolstr!("zone-{}", at % self.zones)
     }
 
-    /// What the store lists of a runner.
+    /// Returns a runner as listed in the store.
     pub fn member(&self, runner: usize) -> ports::Member {
         ports::Member {
             address: smol_str::format_smolstr!("10.0.0.{runner}:7720"),
--- a/tests/unit/leased/simulation/world.rs
+++ b/tests/unit/leased/simulation/world.rs
@@ -1,6 +1,6 @@
-//! Entries, runners and backend servers that pass messages in simulated time, a millisecond
-//! a step. Everything decided is the product's; only the ways and the backend servers are
-//! played.
+//! Entries, runners and backend servers that exchange messages in simulated time, in steps of a
+//! millisecond. The decisions are those of the production code; only the links and the backend
+//! servers are simulated.
 
 use std::collections;
 
@@ -23,35 +23,35 @@
 use crate::leased::fixtures;
 use crate::leased::fixtures::START_MS;
 
-/// One way between an entry and a runner, in milliseconds.
-const WAY_MS: u64 = 1;
+/// One-way latency between an entry and a runner, in milliseconds.
+const LATENCY_MS: u64 = 1;
 
-/// How often entries and runners look at the time, in milliseconds.
-const ENTRY_TICK_MS: u64 = 10;
-const RUNNER_TICK_MS: u64 = 20;
+/// Timer intervals of entries and runners, in milliseconds.
+const ENTRY_TICK_INTERVAL_MS: u64 = 10;
+const RUNNER_TICK_INTERVAL_MS: u64 = 20;
 
-/// How long an answer is waited for, in milliseconds.
-const REPLY_LIMIT_MS: u64 = 250;
+/// Time-out of an answer, in milliseconds.
+const REPLY_TIMEOUT_MS: u64 = 250;
 
-/// Pause before a runner that didn't answer is watched again, in milliseconds.
+/// Pause before the next watch after one without an answer, in milliseconds.
 const RETRY_PAUSE_MS: u64 = 50;
 
-/// Pause of a caller whose entry died, in milliseconds.
+/// Pause before a caller whose entry crashed resends its job, in milliseconds.
 const RESEND_MS: u64 = 1_300;
 
-/// How long a play goes on after the last arrival, in milliseconds.
-const AFTER_MS: u64 = 20_000;
+/// How long a simulation continues after the last arrival, in milliseconds.
+const DRAIN_MS: u64 = 20_000;
 
-/// What became of one call.
+/// A call and its outcome.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Its queue.
+    /// Queue of the job.
     pub queue: SmolStr,
-    /// Until when its answer is in time.
+    /// Time by which an answer is in time.
     pub due_ms: u64,
-    /// Whether its caller has come again.
-    pub is_again: bool,
-    /// When it was answered, and how.
+    /// Whether the caller resent the job.
+    pub is_resent: bool,
+    /// Time and outcome of the answer.
     pub ended: Option<(u64, dispatch::Outcome)>,
 }
 
@@ -59,35 +59,36 @@
     me: ids::Incarnation,
     dispatcher: dispatch::Dispatcher,
     keys: collections::HashMap<usize, runners::RunnerKey>,
-    /// The number of the open watch at each runner.
-    watches: collections::HashMap<usize, u64>,
-    /// Orders that have no answer yet, by runner and number.
-    unanswered: collections::HashSet<(usize, u64)>,
+    /// Number of the open watch at each runner.
+    open_watches: collections::HashMap<usize, u64>,
+    /// Orders without an answer, by runner and number.
+    unanswered_orders: collections::HashSet<(usize, u64)>,
 }
 
-/// The whole of it.
+/// The simulated site.
 pub struct World {
     now_ms: u64,
     rng: ChaCha8Rng,
     site: site::Site,
     entries: Vec<Entry>,
     runners: Vec<runner::Runner>,
-    letters: collections::VecDeque<network::Letter>,
+    in_flight: collections::VecDeque<network::InFlight>,
     calls: Vec<Call>,
     run_ms: collections::HashMap<SmolStr, u64>,
     timers: Vec<network::Timer>,
     last_watch: u64,
-    troubles: Vec<faults::Trouble>,
-    lives: u64,
+    faults: Vec<faults::Fault>,
+    /// Number of entry crashes, for new incarnations.
+    crashes: u64,
     arrivals: Vec<workload::Arrival>,
-    /// Callers that will come again: when, which call, and by which entry.
-    returning: Vec<(u64, usize, usize)>,
-    /// Tasks that ran twice at once.
+    /// Callers that will resend: time, index of the call, index of the entry.
+    resends: Vec<(u64, usize, usize)>,
+    /// Tasks that ran twice at a time.
     pub overlaps: collections::BTreeSet<String>,
 }
 
 impl World {
-    /// A site whose runners are known to every entry and empty.
+    /// Creates a site of idle runners that are known to every entry.
     pub fn new(site: site::Site) -> Self {
         let mut world = Self {
             now_ms: START_MS,
@@ -97,46 +98,47 @@
                 .map(|at| new_entry(&site, at, 0))
                 .collect(),
             runners: (0..site.runners).map(|at| runner::new(&site, at)).collect(),
-            letters: collections::VecDeque::new(),
+            in_flight: collections::VecDeque::new(),
             calls: Vec::new(),
             run_ms: collections::HashMap::new(),
             timers: Vec::new(),
             last_watch: 0,
-            troubles: Vec::new(),
-            lives: 0,
+            faults: Vec::new(),
+            crashes: 0,
             arrivals: Vec::new(),
-            returning: Vec::new(),
+            resends: Vec::new(),
             overlaps: collections::BTreeSet::new(),
         };
         for at in 0..site.entries {
-            world.introduce(at);
+            world.list_runners(at);
         }
         world
     }
 
-    /// Plays a load to its end, under troubles.
-    pub fn play_under(
+    /// Runs a workload to its end with faults and returns its calls.
+    pub fn run_with_faults(
         &mut self,
         arrivals: &[workload::Arrival],
-        troubles: Vec<faults::Trouble>,
+        faults: Vec<faults::Fault>,
     ) -> Vec<Call> {
-        self.troubles = troubles;
-        self.play(arrivals)
+        self.faults = faults;
+        self.run(arrivals)
     }
 
-    /// Plays a load to its end.
-    pub fn play(&mut self, arrivals: &[workload::Arrival]) -> Vec<Call> {
+    /// Runs a workload to its end and returns its calls.
+    pub fn run(&mut self, arrivals: &[workload::Arrival]) -> Vec<Call> {
         self.run_until(START_MS + 500);
-        let begin_ms = self.now_ms;
+        let start_ms = self.now_ms;
         for arrival in arrivals {
-            self.run_until(begin_ms + arrival.at_ms);
+            self.run_until(start_ms + arrival.at_ms);
             self.arrive(arrival);
         }
-        self.run_until(self.now_ms + AFTER_MS);
+        self.run_until(self.now_ms + DRAIN_MS);
         self.calls.clone()
     }
 
-    fn introduce(&mut self, at: usize) {
+    /// Passes the runners of the store to an entry.
+    fn list_runners(&mut self, at: usize) {
         let members: Vec<_> = (0..self.site.runners)
             .map(|runner| self.site.member(runner))
             .collect();
@@ -152,7 +154,7 @@
         self.calls.push(Call {
             queue: arrival.queue.name.clone(),
             due_ms,
-            is_again: arrival.waited_ms > 0,
+            is_resent: arrival.waited_ms > 0,
             ended: None,
         });
         self.run_ms.insert(arrival.job.id.clone(), arrival.run_ms);
@@ -168,25 +170,25 @@
         self.act(arrival.entry, actions);
     }
 
-    /// An entry dies, and another one begins in its place; its callers come again elsewhere.
-    fn lose(&mut self, at: usize) {
-        self.lives += 1;
-        self.entries[at] = new_entry(&self.site, at, self.lives);
-        let elsewhere = (at + 1) % self.site.entries;
+    /// Replaces a crashed entry by a new incarnation; its callers resend to another entry.
+    fn crash(&mut self, at: usize) {
+        self.crashes += 1;
+        self.entries[at] = new_entry(&self.site, at, self.crashes);
+        let next_entry = (at + 1) % self.site.entries;
         for (call, arrival) in self.arrivals.iter_mut().enumerate() {
             if arrival.entry == at && self.calls[call].ended.is_none() {
-                arrival.entry = elsewhere;
-                self.returning
-                    .push((self.now_ms + RESEND_MS, call, elsewhere));
+                arrival.entry = next_entry;
+                self.resends
+                    .push((self.now_ms + RESEND_MS, call, next_entry));
             }
         }
-        self.introduce(at);
+        self.list_runners(at);
     }
 
-    fn come_again(&mut self) {
+    fn resend_due(&mut self) {
         let now_ms = self.now_ms;
         let due: Vec<_> = self
-            .returning
+            .resends
             .extract_if(.., |(at_ms, _, _)| *at_ms <= now_ms)
             .collect();
         for (_, call, entry) in due {
@@ -199,80 +201,88 @@
         }
     }
 
-    fn bring_trouble(&mut self) {
+    fn inject_faults(&mut self) {
         let now_ms = self.now_ms;
-        for at in 0..self.troubles.len() {
-            if let faults::Trouble::Loss { at_ms, entry } = self.troubles[at]
+        for at in 0..self.faults.len() {
+            if let faults::Fault::Crash { at_ms, entry } = self.faults[at]
                 && START_MS + at_ms == now_ms
             {
-                self.lose(entry);
+                self.crash(entry);
             }
         }
     }
 
-    fn is_cut(&self, letter: &network::Letter) -> bool {
-        let way = letter.message.way();
-        let troubles = self.troubles.iter();
-        let mut cuts = troubles.filter(|trouble| trouble.cuts(letter.entry, letter.runner, way));
-        cuts.any(|trouble| trouble.is_on(self.now_ms - START_MS))
+    fn is_cut(&self, sent: &network::InFlight) -> bool {
+        let direction = sent.message.direction();
+        let faults = self.faults.iter();
+        let mut cuts = faults.filter(|fault| fault.cuts(sent.entry, sent.runner, direction));
+        cuts.any(|fault| fault.is_active(self.now_ms - START_MS))
     }
 
-    fn wait_for_answers(&mut self) {
+    fn expire_calls(&mut self) {
         let now_ms = self.now_ms;
         let due: Vec<_> = self
             .timers
             .extract_if(.., |timer| timer.at_ms <= now_ms)
             .collect();
         for timer in due {
-            if self.entries[timer.entry].me == timer.life {
-                self.overdue(timer);
+            if self.entries[timer.entry].me == timer.incarnation {
+                self.on_timeout(timer);
             }
         }
     }
 
-    fn overdue(&mut self, timer: network::Timer) {
+    fn on_timeout(&mut self, timer: network::Timer) {
         let (at, runner) = (timer.entry, timer.runner);
         let entry = &mut self.entries[at];
-        match timer.overdue {
-            network::Overdue::Watch(key, number) if entry.watches.get(&runner) == Some(&number) => {
-                self.ask(at, key);
+        match timer.pending {
+            network::Pending::Watch(key, number)
+                if entry.open_watches.get(&runner) == Some(&number) =>
+            {
+                self.send_watch(at, key);
             }
-            network::Overdue::Order(order)
-                if entry.unanswered.contains(&(runner, order.number)) =>
+            network::Pending::Order(order)
+                if entry.unanswered_orders.contains(&(runner, order.number)) =>
             {
-                self.wait_for(
+                self.start_timer(
                     at,
                     runner,
-                    REPLY_LIMIT_MS,
-                    network::Overdue::OrderAgain(order.clone()),
+                    REPLY_TIMEOUT_MS,
+                    network::Pending::ResentOrder(order.clone()),
                 );
                 self.send(at, runner, network::Message::Order(order));
             }
-            network::Overdue::OrderAgain(order)
-                if entry.unanswered.remove(&(runner, order.number)) =>
+            network::Pending::ResentOrder(order)
+                if entry.unanswered_orders.remove(&(runner, order.number)) =>
             {
                 let key = entry.keys[&runner];
                 let actions = entry.dispatcher.order_lost(self.now_ms, key, &order, false);
                 self.act(at, actions);
             }
-            network::Overdue::Watch(..)
-            | network::Overdue::Order(_)
-            | network::Overdue::OrderAgain(_) => {}
+            network::Pending::Watch(..)
+            | network::Pending::Order(_)
+            | network::Pending::ResentOrder(_) => {}
         }
     }
 
-    fn wait_for(&mut self, entry: usize, runner: usize, limit_ms: u64, overdue: network::Overdue) {
+    fn start_timer(
+        &mut self,
+        entry: usize,
+        runner: usize,
+        delay_ms: u64,
+        pending: network::Pending,
+    ) {
         self.timers.push(network::Timer {
-            at_ms: self.now_ms + limit_ms,
+            at_ms: self.now_ms + delay_ms,
             entry,
-            life: self.entries[entry].me,
+            incarnation: self.entries[entry].me,
             runner,
-            overdue,
+            pending,
         });
     }
 
-    /// Notes tasks of which two runs are at work.
-    fn note_overlaps(&mut self) {
+    /// Records the tasks of which two runs are running.
+    fn record_overlaps(&mut self) {
         let mut seen = collections::HashSet::new();
         let running = self.runners.iter().flat_map(|runner| runner.running.keys());
         for id in running {
@@ -285,28 +295,28 @@
     fn run_until(&mut self, end_ms: u64) {
         while self.now_ms < end_ms {
             self.now_ms += 1;
-            self.bring_trouble();
-            self.come_again();
+            self.inject_faults();
+            self.resend_due();
             self.deliver();
-            self.wait_for_answers();
+            self.expire_calls();
             for at in 0..self.site.runners {
                 self.step_runner(at);
             }
-            if self.now_ms.is_multiple_of(ENTRY_TICK_MS) {
+            if self.now_ms.is_multiple_of(ENTRY_TICK_INTERVAL_MS) {
                 for at in 0..self.site.entries {
                     let actions = self.entries[at].dispatcher.tick(self.now_ms);
                     self.act(at, actions);
                 }
             }
-            self.note_overlaps();
+            self.record_overlaps();
         }
     }
 
     fn send(&mut self, entry: usize, runner: usize, message: network::Message) {
-        self.letters.push_back(network::Letter {
-            at_ms: self.now_ms + WAY_MS,
+        self.in_flight.push_back(network::InFlight {
+            at_ms: self.now_ms + LATENCY_MS,
             entry,
-            life: self.entries[entry].me,
+            incarnation: self.entries[entry].me,
             runner,
             message,
         });
@@ -314,38 +324,39 @@
 
     fn deliver(&mut self) {
         while self
-            .letters
+            .in_flight
             .front()
-            .is_some_and(|letter| letter.at_ms <= self.now_ms)
+            .is_some_and(|sent| sent.at_ms <= self.now_ms)
         {
-            let Some(letter) = self.letters.pop_front() else {
+            let Some(sent) = self.in_flight.pop_front() else {
                 return;
             };
-            let is_for_another_life = letter.message.way() == faults::Way::ToEntry
-                && letter.life != self.entries[letter.entry].me;
-            if is_for_another_life || self.is_cut(&letter) {
+            let is_for_former_incarnation = sent.message.direction() == faults::Direction::ToEntry
+                && sent.incarnation != self.entries[sent.entry].me;
+            if is_for_former_incarnation || self.is_cut(&sent) {
                 continue;
             }
-            let (entry, runner, now_ms) = (letter.entry, letter.runner, self.now_ms);
-            match letter.message {
+            let (entry, runner, now_ms) = (sent.entry, sent.runner, self.now_ms);
+            match sent.message {
                 network::Message::Order(order) => {
-                    let (reply, actions) = self.runners[runner].room.order(now_ms, order.clone());
+                    let (reply, actions) =
+                        self.runners[runner].capacity.order(now_ms, order.clone());
                     self.call_backend(runner, actions);
-                    // An answer to a life that is over goes nowhere.
-                    if letter.life == self.entries[entry].me {
-                        self.send(entry, runner, network::Message::Ordered(order, reply));
+                    // A reply to a former incarnation can't be delivered.
+                    if sent.incarnation == self.entries[entry].me {
+                        self.send(entry, runner, network::Message::Reply(order, reply));
                     }
                 }
                 network::Message::Watch(watch, number) => {
                     let until_ms = now_ms + watch.wait_ms;
-                    let runner_held = &mut self.runners[runner];
-                    let actions = runner_held.room.watch(now_ms, &watch);
-                    runner_held.watches.insert(watch.entry, (until_ms, number));
+                    let receiver = &mut self.runners[runner];
+                    let actions = receiver.capacity.watch(now_ms, &watch);
+                    receiver.watches.insert(watch.entry, (until_ms, number));
                     self.call_backend(runner, actions);
                 }
-                network::Message::Ordered(order, reply) => {
+                network::Message::Reply(order, reply) => {
                     let held = &mut self.entries[entry];
-                    if !held.unanswered.remove(&(runner, order.number)) {
+                    if !held.unanswered_orders.remove(&(runner, order.number)) {
                         continue;
                     }
                     let key = held.keys[&runner];
@@ -353,37 +364,37 @@
                     let actions = dispatcher.order_answered(now_ms, key, &order, reply);
                     self.act(entry, actions);
                 }
-                network::Message::Reported(report, number) => {
-                    // A report that comes after its time limit is not heard.
-                    if self.entries[entry].watches.get(&runner) != Some(&number) {
+                network::Message::WatchAnswer(report, number) => {
+                    // A report that arrives after the time-out is dropped.
+                    if self.entries[entry].open_watches.get(&runner) != Some(&number) {
                         continue;
                     }
                     let key = self.entries[entry].keys[&runner];
                     let dispatcher = &mut self.entries[entry].dispatcher;
                     let actions = dispatcher.report_received(now_ms, key, report);
                     self.act(entry, actions);
-                    self.ask(entry, key);
+                    self.send_watch(entry, key);
                 }
             }
         }
     }
 
-    /// An entry's next watch at a runner, if there is one.
-    fn ask(&mut self, entry: usize, key: runners::RunnerKey) {
-        let asked = self.entries[entry].dispatcher.next_watch(self.now_ms, key);
-        if let Some((address, watch)) = asked {
+    /// Sends an entry's next watch at a runner, if there is one.
+    fn send_watch(&mut self, entry: usize, key: runners::RunnerKey) {
+        let next = self.entries[entry].dispatcher.next_watch(self.now_ms, key);
+        if let Some((address, watch)) = next {
             let runner = runner_at(&address);
             self.last_watch += 1;
             let number = self.last_watch;
             let held = &mut self.entries[entry];
             held.keys.insert(runner, key);
-            held.watches.insert(runner, number);
-            let limit_ms = watch.wait_ms + REPLY_LIMIT_MS + RETRY_PAUSE_MS;
-            self.wait_for(
+            held.open_watches.insert(runner, number);
+            let watch_timeout_ms = watch.wait_ms + REPLY_TIMEOUT_MS + RETRY_PAUSE_MS;
+            self.start_timer(
                 entry,
                 runner,
-                limit_ms,
-                network::Overdue::Watch(key, number),
+                watch_timeout_ms,
+                network::Pending::Watch(key, number),
             );
             self.send(entry, runner, network::Message::Watch(watch, number));
         }
@@ -395,17 +406,19 @@
                 dispatch::Action::Order(_, address, order) => {
                     let runner = runner_at(&address);
                     let number = order.number;
-                    self.entries[entry].unanswered.insert((runner, number));
-                    self.wait_for(
+                    self.entries[entry]
+                        .unanswered_orders
+                        .insert((runner, number));
+                    self.start_timer(
                         entry,
                         runner,
-                        REPLY_LIMIT_MS,
-                        network::Overdue::Order(order.clone()),
+                        REPLY_TIMEOUT_MS,
+                        network::Pending::Order(order.clone()),
                     );
                     self.send(entry, runner, network::Message::Order(order));
                 }
-                dispatch::Action::Watch(key) => self.ask(entry, key),
-                dispatch::Action::Fetch(holder) => panic!("every entry was told; asked {holder}"),
+                dispatch::Action::Watch(key) => self.send_watch(entry, key),
+                dispatch::Action::Fetch(holder) => panic!("unexpected fetch from {holder}"),
                 dispatch::Action::Answer(waiter, outcome) => {
                     let at = usize::try_from(waiter).expect("a small number");
                     self.calls[at].ended = Some((self.now_ms, outcome));
@@ -414,15 +427,15 @@
         }
     }
 
-    fn is_unanswered(&mut self) -> bool {
+    fn draw_unanswered(&mut self) -> bool {
         self.rng
             .random_ratio(self.site.unanswered_in_thousand, 1_000)
     }
 
-    /// Orders to a backend server; one that it leaves unanswered it doesn't carry out either.
+    /// Calls a backend server, which does not execute the calls that it leaves unanswered.
     fn call_backend(&mut self, at: usize, actions: Vec<capacity::Action>) {
         for action in actions {
-            let is_lost = self.is_unanswered();
+            let is_lost = self.draw_unanswered();
             let now_ms = self.now_ms;
             match action {
                 capacity::Action::Start(call) => {
@@ -435,14 +448,14 @@
                         runner.running.insert(id.clone(), now_ms + run_ms);
                         (now_ms + 1, id, ports::StartAnswer::Started)
                     };
-                    self.runners[at].started.push(answer);
+                    self.runners[at].start_answers.push(answer);
                 }
                 capacity::Action::Stop(call) if !is_lost => {
                     let runner = &mut self.runners[at];
                     if runner.running.remove(&call.id).is_some() {
                         runner.end(call.id.clone(), messages::RunOutcome::Stopped);
                     }
-                    runner.stopped.push((now_ms + 1, call.id));
+                    runner.stop_answers.push((now_ms + 1, call.id));
                 }
                 capacity::Action::Stop(_) => {}
             }
@@ -451,36 +464,40 @@
 
     fn step_runner(&mut self, at: usize) {
         let now_ms = self.now_ms;
-        self.runners[at].finish(now_ms);
-        let mut actions = self.runners[at].hear_answers(now_ms);
-        if let Some(heard) = self.runners[at].take_listing(now_ms) {
-            let asked_ms = self.runners[at].listing.asked_ms;
-            actions.extend(self.runners[at].room.listed(now_ms, asked_ms, heard));
-            let is_lost = self.is_unanswered();
-            self.runners[at].ask_backend(now_ms, is_lost);
+        self.runners[at].end_due(now_ms);
+        let mut actions = self.runners[at].receive_answers(now_ms);
+        if let Some(listing_answer) = self.runners[at].list_answer(now_ms) {
+            let sent_at_ms = self.runners[at].list_call.sent_at_ms;
+            actions.extend(
+                self.runners[at]
+                    .capacity
+                    .listed(now_ms, sent_at_ms, listing_answer),
+            );
+            let is_lost = self.draw_unanswered();
+            self.runners[at].send_list_call(now_ms, is_lost);
         }
-        if now_ms.is_multiple_of(RUNNER_TICK_MS) {
-            actions.extend(self.runners[at].room.tick(now_ms));
+        if now_ms.is_multiple_of(RUNNER_TICK_INTERVAL_MS) {
+            actions.extend(self.runners[at].capacity.tick(now_ms));
         }
         self.call_backend(at, actions);
         for entry in 0..self.site.entries {
             let me = self.entries[entry].me;
-            if let Some((report, number)) = self.runners[at].report_due(now_ms, me) {
-                self.send(entry, at, network::Message::Reported(report, number));
+            if let Some((report, number)) = self.runners[at].due_report(now_ms, me) {
+                self.send(entry, at, network::Message::WatchAnswer(report, number));
             }
         }
     }
 }
 
-/// Which runner answers at an address.
+/// Returns the index of the runner with this address.
 fn runner_at(address: &str) -> usize {
     let (host, _) = address.split_once(':').expect("a port");
     let (_, runner) = host.rsplit_once('.').expect("an address");
     runner.parse().expect("a number")
 }
 
-fn new_entry(site: &site::Site, at: usize, life: u64) -> Entry {
-    let me = ids::Incarnation(1 + at as u64 + 1_000 * life);
+fn new_entry(site: &site::Site, at: usize, generation: u64) -> Entry {
+    let me = ids::Incarnation(1 + at as u64 + 1_000 * generation);
     let mut dispatcher =
         dispatch::Dispatcher::new(me, site.zone_of(at)).with_watch_set(site.watch_set);
     let mut directives = fixtures::directives(3);
@@ -490,7 +507,7 @@
         me,
         dispatcher,
         keys: collections::HashMap::new(),
-        watches: collections::HashMap::new(),
-        unanswered: collections::HashSet::new(),
+        open_watches: collections::HashMap::new(),
+        unanswered_orders: collections::HashSet::new(),
     }
 }
--- a/tests/unit/leased/wait_queue.rs
+++ b/tests/unit/leased/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Runs that wait at a runner for room.
+//! Runs that wait at a runner for capacity.
 
 use bulrushtiller::leased::capacity;
 use bulrushtiller::leased::messages;
@@ -10,25 +10,25 @@
 use super::fixtures::OTHER;
 use super::fixtures::START_MS;
 
-/// A room that is full with ten runs of another entry.
-fn full_room() -> (capacity::CapacityManager, Vec<messages::RunId>) {
-    let mut room = fixtures::ready_manager();
+/// Returns a runner whose capacity is used up by ten runs of a third entry.
+fn full_manager() -> (capacity::CapacityManager, Vec<messages::RunId>) {
+    let mut manager = fixtures::ready_manager();
     let runs: Vec<_> = (0..10).map(|at| fixtures::run_id(9, at, 1)).collect();
     let starts: Vec<_> = runs.iter().map(|id| (id.clone(), 1_600)).collect();
     let third = bulrushtiller::ids::Incarnation(3);
-    room.order(START_MS, fixtures::order(third, 1, START_MS, &starts));
+    manager.order(START_MS, fixtures::order(third, 1, START_MS, &starts));
     for id in &runs {
-        room.start_answered(START_MS + 1, id, ports::StartAnswer::Started);
+        manager.start_answered(START_MS + 1, id, ports::StartAnswer::Started);
     }
-    room.watch(
+    manager.watch(
         START_MS + 2,
         &fixtures::watch(third, START_MS + 2, 1, &runs),
     );
-    (room, runs)
+    (manager, runs)
 }
 
-/// An order of one run that may wait.
-fn patient(
+/// Returns an order of one run that may wait.
+fn waiting_order(
     entry: bulrushtiller::ids::Incarnation,
     id: &messages::RunId,
     start_within_ms: u64,
@@ -42,135 +42,135 @@
     order
 }
 
-fn end_one(
-    room: &mut capacity::CapacityManager,
+fn end_first(
+    manager: &mut capacity::CapacityManager,
     now_ms: u64,
     runs: &[messages::RunId],
 ) -> Vec<capacity::Action> {
     let (ended, left) = runs.split_first().expect("a run");
     let ports::ListAnswer::Listed(mut listing) = fixtures::listing(5_010, left) else {
-        panic!("a list");
+        panic!("the fixture is a listing");
     };
     listing.ended = vec![ports::Ended {
         number: 1,
         id: ended.clone(),
         how: messages::RunOutcome::Done,
     }];
-    room.listed(now_ms, now_ms - 1, ports::ListAnswer::Listed(listing))
+    manager.listed(now_ms, now_ms - 1, ports::ListAnswer::Listed(listing))
 }
 
-/// A backend server is full and two entries have work for it. Each would hear of free room
-/// a watch later and race for it; in the line the more urgent run starts in the moment in which
-/// another ends, whichever entry's it is.
+/// Two entries order runs at a full backend server. Without the queue, each would learn of freed
+/// capacity one watch later and compete for it; the more urgent run has to start as soon as
+/// another one ends, whichever entry ordered it.
 #[test]
-fn the_most_urgent_run_in_line_starts_as_room_comes_free() {
-    let (mut room, runs) = full_room();
-    let (calm, urgent) = (fixtures::run_id(1, 0, 1), fixtures::run_id(2, 0, 1));
-    let (first, started_first) = room.order(START_MS + 2, patient(ENTRY, &calm, 80));
-    let (second, _) = room.order(START_MS + 3, patient(OTHER, &urgent, 20));
-    let line_milli = room.load(START_MS + 3).line.total_milli();
+fn most_urgent_queued_run_starts_when_capacity_is_freed() {
+    let (mut manager, runs) = full_manager();
+    let (relaxed, urgent) = (fixtures::run_id(1, 0, 1), fixtures::run_id(2, 0, 1));
+    let (first, started_first) = manager.order(START_MS + 2, waiting_order(ENTRY, &relaxed, 80));
+    let (second, _) = manager.order(START_MS + 3, waiting_order(OTHER, &urgent, 20));
+    let waiting_milli = manager.load(START_MS + 3).line.total_milli();
 
-    let actions = end_one(&mut room, START_MS + 10, &runs);
+    let actions = end_first(&mut manager, START_MS + 10, &runs);
 
     assert!(first.refused.is_empty() && second.refused.is_empty());
     assert!(fixtures::started(&started_first).is_empty());
-    assert_eq!(line_milli, 3_200);
-    let begun: Vec<_> = fixtures::started(&actions)
+    assert_eq!(waiting_milli, 3_200);
+    let started_ids: Vec<_> = fixtures::started(&actions)
         .into_iter()
         .map(|call| call.start.id)
         .collect();
-    assert_eq!(begun, [urgent]);
-    assert_eq!(room.load(START_MS + 10).line.total_milli(), 1_600);
-    assert_eq!(room.load(START_MS + 10).used.cpu_milli, 16_000);
+    assert_eq!(started_ids, [urgent]);
+    assert_eq!(manager.load(START_MS + 10).line.total_milli(), 1_600);
+    assert_eq!(manager.load(START_MS + 10).used.cpu_milli, 16_000);
 }
 
-/// The lines of all runners are full of runs with time in hand, and the last task of a job
-/// that can wait for no one finds no place. It takes the place of the least urgent run, whose
-/// entry is told at once that it never started.
+/// The wait queues of all runners are full of runs with time to spare, so that the last task of
+/// an urgent job would not be accepted anywhere. It displaces the least urgent run, which is
+/// reported to its entry as not started.
 #[test]
-fn a_more_urgent_run_takes_the_place_of_the_least_urgent() {
-    let (mut room, _) = full_room();
-    let calm = [fixtures::run_id(1, 0, 1), fixtures::run_id(1, 1, 1)];
-    for (id, number) in calm.iter().zip(1..) {
-        let mut order = patient(ENTRY, id, 50 + number);
+fn urgent_run_displaces_the_least_urgent_queued_run() {
+    let (mut manager, _) = full_manager();
+    let relaxed = [fixtures::run_id(1, 0, 1), fixtures::run_id(1, 1, 1)];
+    for (id, number) in relaxed.iter().zip(1..) {
+        let mut order = waiting_order(ENTRY, id, 50 + number);
         order.number = number;
         order.starts[0].wait.class = 2;
-        room.order(START_MS + 2, order);
+        manager.order(START_MS + 2, order);
     }
-    room.report(START_MS + 2, ENTRY);
+    manager.report(START_MS + 2, ENTRY);
     let (urgent, more) = (fixtures::run_id(2, 0, 1), fixtures::run_id(3, 0, 1));
 
-    let (taken, _) = room.order(START_MS + 3, patient(OTHER, &urgent, 80));
-    let mut calmest = patient(OTHER, &more, 90);
-    calmest.number = 2;
-    calmest.starts[0].wait.class = 2;
-    let (refused, _) = room.order(START_MS + 4, calmest);
-    let told = room.report(START_MS + 4, ENTRY);
+    let (accepted, _) = manager.order(START_MS + 3, waiting_order(OTHER, &urgent, 80));
+    let mut least_urgent = waiting_order(OTHER, &more, 90);
+    least_urgent.number = 2;
+    least_urgent.starts[0].wait.class = 2;
+    let (refused, _) = manager.order(START_MS + 4, least_urgent);
+    let report = manager.report(START_MS + 4, ENTRY);
 
-    assert!(taken.refused.is_empty());
+    assert!(accepted.refused.is_empty());
     assert_eq!(refused.refused, [(more, messages::Refusal::Room)]);
-    assert_eq!(told.ends.len(), 1, "{told:?}");
-    assert_eq!(told.ends[0].id, calm[1]);
-    assert_eq!(told.ends[0].how, messages::RunOutcome::NotStarted);
-    assert_eq!(room.load(START_MS + 4).line.total_milli(), 3_200);
+    assert_eq!(report.ends.len(), 1, "{report:?}");
+    assert_eq!(report.ends[0].id, relaxed[1]);
+    assert_eq!(report.ends[0].how, messages::RunOutcome::NotStarted);
+    assert_eq!(manager.load(START_MS + 4).line.total_milli(), 3_200);
 }
 
-/// What waits beyond its time would be late. It is given back, as never started, so that its
-/// entry can place it elsewhere or tell its caller the truth.
+/// A run that has waited too long would be late. It is returned as not started, so that its entry
+/// can place it elsewhere or answer its caller correctly.
 #[test]
-fn what_waits_too_long_is_given_back_as_not_started() {
-    let (mut room, _) = full_room();
+fn run_that_waited_too_long_is_returned_as_not_started() {
+    let (mut manager, _) = full_manager();
     let id = fixtures::run_id(1, 0, 1);
-    room.order(START_MS + 2, patient(ENTRY, &id, 80));
+    manager.order(START_MS + 2, waiting_order(ENTRY, &id, 80));
 
-    room.tick(START_MS + 102);
-    let in_time = room.report(START_MS + 102, ENTRY);
-    room.tick(START_MS + 103);
-    let late = room.report(START_MS + 103, ENTRY);
+    manager.tick(START_MS + 102);
+    let in_time = manager.report(START_MS + 102, ENTRY);
+    manager.tick(START_MS + 103);
+    let late = manager.report(START_MS + 103, ENTRY);
 
     assert_eq!((in_time.waiting.len(), in_time.ends.len()), (1, 0));
     assert_eq!(late.ends.len(), 1);
     assert_eq!(late.ends[0].how, messages::RunOutcome::NotStarted);
-    assert_eq!(room.load(START_MS + 103).line.total_milli(), 0);
+    assert_eq!(manager.load(START_MS + 103).line.total_milli(), 0);
 }
 
-/// Why nothing of the line may start any more.
+/// Why queued runs may not start any more.
 #[derive(Clone, Copy, Debug)]
-enum Closing {
+enum Cause {
     RunnerLeaves,
     BackendLeaves,
     ZoneOut,
     Unwanted,
 }
 
-/// A run waits in line while its runner or backend server begins to leave, its availability
-/// zone is taken out, or its caller goes. Room that comes free later must not start it.
+/// While a run is queued, its runner or backend server starts to stop, its availability zone is
+/// taken out of service, or its caller disconnects. Capacity freed later must not start the run.
 #[rstest]
-#[case::runner_leaves(Closing::RunnerLeaves)]
-#[case::backend_leaves(Closing::BackendLeaves)]
-#[case::zone_out(Closing::ZoneOut)]
-#[case::unwanted(Closing::Unwanted)]
-fn what_may_not_start_any_more_leaves_the_line(#[case] why: Closing) {
-    let (mut room, runs) = full_room();
+#[case::runner_leaves(Cause::RunnerLeaves)]
+#[case::backend_leaves(Cause::BackendLeaves)]
+#[case::zone_out(Cause::ZoneOut)]
+#[case::unwanted(Cause::Unwanted)]
+fn queued_run_that_may_not_start_is_returned(#[case] cause: Cause) {
+    let (mut manager, runs) = full_manager();
     let id = fixtures::run_id(1, 0, 1);
-    room.order(START_MS + 2, patient(ENTRY, &id, 80));
+    manager.order(START_MS + 2, waiting_order(ENTRY, &id, 80));
 
     let mut watch = fixtures::watch(ENTRY, START_MS + 4, 1, std::slice::from_ref(&id));
-    match why {
-        Closing::RunnerLeaves => room.leave(START_MS + 4),
-        Closing::BackendLeaves => {
+    match cause {
+        Cause::RunnerLeaves => manager.leave(START_MS + 4),
+        Cause::BackendLeaves => {
             let mut leaving = fixtures::announcement(100, 2);
             leaving.is_leaving = true;
-            room.announced(START_MS + 4, leaving);
+            manager.announced(START_MS + 4, leaving);
         }
-        Closing::ZoneOut => {
+        Cause::ZoneOut => {
             watch.notice = Some(fixtures::notice(4, "bento"));
         }
-        Closing::Unwanted => watch.wanted.clear(),
+        Cause::Unwanted => watch.wanted.clear(),
     }
-    room.watch(START_MS + 4, &watch);
-    let actions = end_one(&mut room, START_MS + 10, &runs);
-    let report = room.report(START_MS + 11, ENTRY);
+    manager.watch(START_MS + 4, &watch);
+    let actions = end_first(&mut manager, START_MS + 10, &runs);
+    let report = manager.report(START_MS + 11, ENTRY);
 
     assert!(fixtures::started(&actions).is_empty());
     assert!(fixtures::stopped(&actions).is_empty());
