--- a/tests/unit/leased.rs
+++ b/tests/unit/leased.rs
@@ -1,4 +1,4 @@
-//! Runs under leases: the runner's room, the entry's decisions, and what passes between.
+//! Runs under leases: decisions of runners and entries, and the messages between them.
 
 mod call_timeout;
 mod capacity;
@@ -7,9 +7,9 @@
 mod fixtures;
 mod jobs;
 mod placement;
-mod play;
 mod prior_wait;
 mod queues;
+mod simulation;
 mod urgency;
 mod wait_queue;
 mod watching;
