--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -1,9 +1,9 @@
-//! What becomes of a task that was handed to a runner.
+//! Outcomes of the attempts that were sent to runners.
 //!
-//! A task is handed out again only when it is *known* that the attempt before did
-//! not start and never will: the connection was never made, the runner said so,
-//! or it promised so when asked on a fresh connection. Where none of these can be
-//! had, the truth is "may have run".
+//! A task is dispatched again only when it is *known* that the previous attempt did not
+//! start and never will: the connection was not made, the runner reported it, or the
+//! runner guaranteed it when queried on a fresh connection. In all other cases the outcome
+//! is "may have run".
 
 use rand::RngCore as _;
 
@@ -16,82 +16,85 @@
 use crate::queue;
 use crate::wire;
 
-/// Why a dispatch brought no answer.
+/// The reason why a dispatch got no reply.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum DispatchError {
-    /// The connection was not made: nothing was sent.
+    /// The connection was not made; nothing was sent.
     NotSent,
-    /// Something was sent; what came of it is not known.
+    /// The request was sent at least in part; its outcome is unknown.
     Lost,
 }
 
-/// Pause after a runner said that it is full, in milliseconds: the time in which
-/// one of eight slots comes free when tasks take about 200 ms.
-const FULL_PAUSE_MS: u64 = 25;
+/// Time without dispatches to a runner that reported that it is full, in milliseconds.
+///
+/// One of eight slots comes free in this time when tasks take about 200 ms.
+const FULL_RUNNER_PAUSE_MS: u64 = 25;
 
-/// Time between two questions about the same attempt, in milliseconds.
-const ASK_AGAIN_MS: u64 = 500;
+/// Interval between two queries about the same attempt, in milliseconds.
+const QUERY_INTERVAL_MS: u64 = 500;
 
 impl core::Core {
-    /// A runner answered a dispatch, perhaps late or twice.
+    /// Handles a runner's reply to a dispatch.
+    ///
+    /// Replies may arrive late or more than once.
     pub fn dispatch_answered(
         &mut self,
         now_ms: u64,
         reply: wire::DispatchReply,
     ) -> Vec<core::Action> {
-        let mut actions = self.wake(now_ms);
+        let mut actions = self.catch_up(now_ms);
         let number = reply.attempt.number;
         let is_ours = reply.attempt.owner == self.me.incarnation;
-        let Some(flight) = self.in_flight.get(number).filter(|_| is_ours) else {
+        let Some(pending) = self.in_flight.get(number).filter(|_| is_ours) else {
             self.counts.wasted += 1;
             return actions;
         };
-        let is_unsure = is_unsure(flight, &reply.outcome, reply.load.epoch);
-        self.hear_load(flight.runner, now_ms, reply.load);
-        if is_unsure {
-            actions.extend(self.forgotten(now_ms, number));
+        let may_be_forgotten = may_be_forgotten(pending, &reply.outcome, reply.load.epoch);
+        self.record_load(pending.runner, now_ms, reply.load);
+        if may_be_forgotten {
+            actions.extend(self.end_forgotten(now_ms, number));
         } else {
-            actions.extend(self.outcome(now_ms, number, reply.outcome));
+            actions.extend(self.apply_outcome(now_ms, number, reply.outcome));
         }
-        actions.extend(self.pump(now_ms));
+        actions.extend(self.dispatch_queued(now_ms));
         actions
     }
 
-    fn hear_load(&mut self, key: membership::RunnerKey, now_ms: u64, load: wire::Load) {
+    fn record_load(&mut self, key: membership::RunnerKey, now_ms: u64, load: wire::Load) {
         if let Some(runner) = self.members.runner_mut(key) {
             runner.last_seen_ms = runner.last_seen_ms.max(now_ms);
             runner.update_load(load);
         }
     }
 
-    /// A dispatch brought no answer.
+    /// Handles a dispatch that got no reply.
     pub fn dispatch_failed(
         &mut self,
         now_ms: u64,
         attempt: ids::Attempt,
-        fault: DispatchError,
+        error: DispatchError,
     ) -> Vec<core::Action> {
-        let mut actions = self.wake(now_ms);
+        let mut actions = self.catch_up(now_ms);
         if self.in_flight.get(attempt.number).is_none() {
             return actions;
         }
-        match fault {
+        match error {
             DispatchError::NotSent => {
                 let code = codes::Code::BackendUnreachable;
                 actions.extend(self.not_started(now_ms, attempt.number, code));
-                actions.extend(self.pump(now_ms));
+                actions.extend(self.dispatch_queued(now_ms));
             }
             DispatchError::Lost => {
-                self.mark_lost(now_ms, attempt.number);
-                actions.extend(self.ask(now_ms, attempt.number));
+                self.mark_reply_lost(now_ms, attempt.number);
+                actions.extend(self.query_runner(now_ms, attempt.number));
             }
         }
         actions
     }
 
-    /// Keeps work from a runner for a while, so that a refusal that will be
-    /// repeated is not asked for again and again.
-    fn close(&mut self, now_ms: u64, key: membership::RunnerKey, code: codes::Code) {
+    /// Pauses dispatches to a runner, or to its zone, after a refusal that would be
+    /// repeated at once.
+    fn pause_dispatch(&mut self, now_ms: u64, key: membership::RunnerKey, code: codes::Code) {
         let heartbeat_ms = u64::from(self.settings.timeouts.heartbeat_ms);
         let Some(runner) = self.members.runner_mut(key) else {
             return;
@@ -106,53 +109,61 @@
                 runner.is_leaving = true;
                 return;
             }
-            codes::Code::RunnerFull | codes::Code::WaitedTooLong => FULL_PAUSE_MS,
+            codes::Code::RunnerFull | codes::Code::WaitedTooLong => FULL_RUNNER_PAUSE_MS,
             codes::Code::Fenced | codes::Code::NeverFits => return,
             _ => heartbeat_ms,
         };
         runner.backoff_until_ms = now_ms + pause_ms;
     }
 
-    /// A runner answered a question.
+    /// Handles a runner's reply to a fence.
     pub fn fence_answered(
         &mut self,
         now_ms: u64,
         fence: &wire::Fence,
         reply: wire::FenceReply,
     ) -> Vec<core::Action> {
-        let mut actions = self.wake(now_ms);
-        let is_same_life = reply.incarnation == fence.incarnation;
+        let mut actions = self.catch_up(now_ms);
+        let is_same_incarnation = reply.incarnation == fence.incarnation;
         for (attempt, outcome) in fence.attempts.iter().zip(reply.outcomes) {
-            let Some(flight) = self.in_flight.get(attempt.number) else {
+            let Some(pending) = self.in_flight.get(attempt.number) else {
                 continue;
             };
-            let runner = flight.runner;
+            let runner = pending.runner;
             match outcome {
-                Some(outcome) if is_same_life && is_unsure(flight, &outcome, reply.load.epoch) => {
-                    actions.extend(self.forgotten(now_ms, attempt.number));
+                Some(outcome)
+                    if is_same_incarnation
+                        && may_be_forgotten(pending, &outcome, reply.load.epoch) =>
+                {
+                    actions.extend(self.end_forgotten(now_ms, attempt.number));
                 }
-                Some(outcome) if is_same_life => {
-                    self.hear_load(runner, now_ms, reply.load);
-                    actions.extend(self.outcome(now_ms, attempt.number, outcome));
+                Some(outcome) if is_same_incarnation => {
+                    self.record_load(runner, now_ms, reply.load);
+                    actions.extend(self.apply_outcome(now_ms, attempt.number, outcome));
                 }
-                // The dispatch got lost on its way, and its connection may be silent for
-                // good; from now on the attempt is barred when asked about.
-                None if is_same_life => self.mark_lost(now_ms, attempt.number),
-                _ => actions.extend(self.runner_over(now_ms, runner)),
+                // The dispatch did not arrive and its connection may be dead; the next
+                // query bars the attempt.
+                None if is_same_incarnation => self.mark_reply_lost(now_ms, attempt.number),
+                _ => actions.extend(self.runner_lost(now_ms, runner)),
             }
         }
-        actions.extend(self.pump(now_ms));
+        actions.extend(self.dispatch_queued(now_ms));
         actions
     }
 
-    fn outcome(&mut self, now_ms: u64, number: u64, outcome: wire::Outcome) -> Vec<core::Action> {
+    fn apply_outcome(
+        &mut self,
+        now_ms: u64,
+        number: u64,
+        outcome: wire::Outcome,
+    ) -> Vec<core::Action> {
         match outcome {
             wire::Outcome::Parked => Vec::new(),
             wire::Outcome::Running { run_ms } => {
-                self.judge_running(now_ms, number, run_ms);
-                let ask_ms = now_ms + u64::from(self.settings.timeouts.query_after_ms);
+                self.report_running(now_ms, number, run_ms);
+                let query_at_ms = now_ms + u64::from(self.settings.timeouts.query_after_ms);
                 self.in_flight
-                    .change(number, |flight| flight.ask_ms = ask_ms);
+                    .change(number, |pending| pending.query_at_ms = query_at_ms);
                 Vec::new()
             }
             wire::Outcome::NotStarted { code } => {
@@ -171,42 +182,42 @@
         }
     }
 
-    /// The attempt will never start: the task may be handed out again.
+    /// Handles an attempt that will never start; its task can be dispatched again.
     fn not_started(&mut self, now_ms: u64, number: u64, code: codes::Code) -> Vec<core::Action> {
-        let Some(flight) = self.take(number) else {
+        let Some(pending) = self.take_in_flight(number) else {
             return Vec::new();
         };
-        self.queue.adjust_charge(flight.team, flight.expected_ms, 0);
-        self.close(now_ms, flight.runner, code);
-        let Some(open) = self.jobs.open_mut(flight.task.submission) else {
+        self.queue.adjust_charge(pending.team, pending.expected_ms, 0);
+        self.pause_dispatch(now_ms, pending.runner, code);
+        let Some(open) = self.jobs.open_mut(pending.task.submission) else {
             return Vec::new();
         };
         let verdict = open.give_up_reason();
         if verdict.is_some() || code == codes::Code::NeverFits {
             let code = verdict.map_or(code, |verdict| verdict.code);
-            return self.decide(now_ms, flight.task, jobs::Decided::not_run(code));
+            return self.decide(now_ms, pending.task, jobs::Decided::not_run(code));
         }
-        open.requeued(flight.task.index);
-        self.requeue(flight.item());
+        open.requeued(pending.task.index);
+        self.requeue(pending.item());
         Vec::new()
     }
 
-    /// The runner promises that the attempt will not start, but it no longer
-    /// remembers attempts as old as this one.
+    /// Handles a "will not start" reply from a runner that no longer remembers attempts
+    /// as old as this one.
     ///
-    /// It shows after this process was frozen for minutes, or when a second copy of a
-    /// dispatch arrives that late: the task ran, its answer went unheard, and the
-    /// runner has forgotten it. "Not run" would be untrue and
-    /// would have the task started a second time. The runner's epoch tells: it
-    /// forgets nothing whose dispatch carried its current or previous one.
-    fn forgotten(&mut self, now_ms: u64, number: u64) -> Vec<core::Action> {
-        let Some(flight) = self.take(number) else {
+    /// This happens after this process was suspended for minutes, or when a second copy
+    /// of a dispatch arrives that late: the task ran, its reply was lost, and the runner
+    /// has forgotten it. "Not run" would be wrong and would start the task a second time.
+    /// The runner's epoch reveals this: a runner remembers every attempt whose dispatch
+    /// carried its current or previous epoch.
+    fn end_forgotten(&mut self, now_ms: u64, number: u64) -> Vec<core::Action> {
+        let Some(pending) = self.take_in_flight(number) else {
             return Vec::new();
         };
-        self.lost(now_ms, &flight, codes::Code::RunnerLost)
+        self.attempt_lost(now_ms, &pending, codes::Code::RunnerLost)
     }
 
-    /// Puts a task that came back into its place in the queue.
+    /// Requeues a task at its previous rank if it still waits to run.
     pub(crate) fn requeue(&mut self, item: queue::Item) {
         let Some(open) = self.jobs.open_at(item.task.submission) else {
             return;
@@ -226,18 +237,18 @@
         output: String,
         run_ms: u64,
     ) -> Vec<core::Action> {
-        let Some(flight) = self.take(number) else {
+        let Some(pending) = self.take_in_flight(number) else {
             return Vec::new();
         };
         self.counts.started += 1;
-        self.judge_end(now_ms, number, &flight, run_ms, code);
-        let place = self.place_of(flight.runner);
+        self.report_end(now_ms, number, &pending, run_ms, code);
+        let place = self.place_of(pending.runner);
         let fate = match code.class() {
             codes::Class::Complete => api::Fate::Ran,
-            codes::Class::MayHaveRun => return self.lost(now_ms, &flight, code),
+            codes::Class::MayHaveRun => return self.attempt_lost(now_ms, &pending, code),
             _ => api::Fate::Failed,
         };
-        let code = self.cause_of(flight.task, code);
+        let code = self.cause_of(pending.task, code);
         let decided = jobs::Decided {
             fate,
             code,
@@ -245,10 +256,12 @@
             run_ms,
             place,
         };
-        self.decide(now_ms, flight.task, decided)
+        self.decide(now_ms, pending.task, decided)
     }
 
-    /// A task that was stopped for the deadline failed for the deadline.
+    /// Returns the result code of an ended task.
+    ///
+    /// A task that was stopped because of the deadline fails with the code of the deadline.
     fn cause_of(&self, task: jobs::TaskKey, code: codes::Code) -> codes::Code {
         let open = self.jobs.open_at(task.submission);
         let verdict = open
@@ -262,35 +275,36 @@
         }
     }
 
-    /// The attempt may have started and nothing more will be heard of it.
-    fn lost(
+    /// Handles an attempt that may have started and whose outcome will not be known.
+    fn attempt_lost(
         &mut self,
         now_ms: u64,
-        flight: &core::InFlight,
+        pending: &core::InFlight,
         code: codes::Code,
     ) -> Vec<core::Action> {
-        let place = self.place_of(flight.runner);
-        if self.start_again(now_ms, flight, code, place.as_ref()) {
+        let place = self.place_of(pending.runner);
+        if self.plan_retry(now_ms, pending, code, place.as_ref()) {
             return Vec::new();
         }
         self.decide(
             now_ms,
-            flight.task,
+            pending.task,
             jobs::Decided::may_have_run(code, place),
         )
     }
 
-    /// Has an idempotent task started again elsewhere, within the budget and the
-    /// deadline; says whether it will be.
-    fn start_again(
+    /// Schedules a retry of an idempotent task within the retry budget and the deadline.
+    ///
+    /// Returns whether a retry was scheduled.
+    fn plan_retry(
         &mut self,
         now_ms: u64,
-        flight: &core::InFlight,
+        pending: &core::InFlight,
         code: codes::Code,
         place: Option<&jobs::Place>,
     ) -> bool {
         let seed = self.rng.next_u64();
-        let Some(open) = self.jobs.open_mut(flight.task.submission) else {
+        let Some(open) = self.jobs.open_mut(pending.task.submission) else {
             return false;
         };
         if !open.header.is_idempotent || open.give_up_reason().is_some() {
@@ -299,13 +313,13 @@
         let deadline_ms = open.header.deadline_ms;
         if !self
             .retries
-            .schedule(now_ms, deadline_ms, flight.item(), seed)
+            .schedule(now_ms, deadline_ms, pending.item(), seed)
         {
             return false;
         }
-        open.lost(flight.task.index, code, place.cloned());
+        open.lost(pending.task.index, code, place.cloned());
         self.counts.retries += 1;
-        self.close(now_ms, flight.runner, code);
+        self.pause_dispatch(now_ms, pending.runner, code);
         true
     }
 
@@ -317,18 +331,18 @@
         })
     }
 
-    /// Takes an attempt off the books.
-    fn take(&mut self, number: u64) -> Option<core::InFlight> {
-        let flight = self.in_flight.remove(number)?;
-        if let Some(runner) = self.members.runner_mut(flight.runner) {
-            runner.remove_in_flight(&flight.need);
+    /// Removes an attempt and releases its resources and slot.
+    fn take_in_flight(&mut self, number: u64) -> Option<core::InFlight> {
+        let pending = self.in_flight.remove(number)?;
+        if let Some(runner) = self.members.runner_mut(pending.runner) {
+            runner.remove_in_flight(&pending.need);
         }
-        self.queue.released(flight.team);
-        Some(flight)
+        self.queue.released(pending.team);
+        Some(pending)
     }
 
-    /// A life of a runner is over: what it may have been running is lost.
-    pub(crate) fn runner_over(
+    /// Handles the end of a runner incarnation: all its attempts in flight are lost.
+    pub(crate) fn runner_lost(
         &mut self,
         now_ms: u64,
         key: membership::RunnerKey,
@@ -337,43 +351,43 @@
         self.health.remove_runner(key);
         let mut actions = Vec::new();
         for number in numbers {
-            let Some(flight) = self.take(number) else {
+            let Some(pending) = self.take_in_flight(number) else {
                 continue;
             };
-            actions.extend(self.lost(now_ms, &flight, codes::Code::RunnerLost));
+            actions.extend(self.attempt_lost(now_ms, &pending, codes::Code::RunnerLost));
         }
         actions
     }
 
-    /// Has an attempt stopped, or barred if it has not started.
+    /// Stops an attempt, or bars it if it has not started.
     pub(crate) fn stop(&mut self, now_ms: u64, attempt: ids::Attempt) -> Option<core::Action> {
-        let flight = self.in_flight.get(attempt.number)?;
-        if flight.is_stopping {
+        let pending = self.in_flight.get(attempt.number)?;
+        if pending.is_stopping {
             return None;
         }
         self.in_flight
-            .change(attempt.number, |flight| flight.is_stopping = true);
-        self.ask(now_ms, attempt.number)
+            .change(attempt.number, |pending| pending.is_stopping = true);
+        self.query_runner(now_ms, attempt.number)
     }
 
-    /// The answer to the dispatch can't come any more.
-    fn mark_lost(&mut self, now_ms: u64, number: u64) {
-        self.in_flight.change(number, |flight| {
-            flight.is_lost = true;
-            flight.ask_ms = now_ms;
+    /// Records that the reply to a dispatch can no longer arrive, and makes the query due.
+    fn mark_reply_lost(&mut self, now_ms: u64, number: u64) {
+        self.in_flight.change(number, |pending| {
+            pending.is_reply_lost = true;
+            pending.query_at_ms = now_ms;
         });
     }
 
-    /// Asks the runner about an attempt, on a fresh connection.
+    /// Queries the runner about an attempt, on a fresh connection.
     ///
-    /// The answer to a dispatch that went silent tells nothing; the question has
-    /// the attempt barred if it never started, so "not run" is true from then on.
-    pub(crate) fn ask(&mut self, now_ms: u64, number: u64) -> Option<core::Action> {
-        let ask_ms = now_ms + ASK_AGAIN_MS;
+    /// Without a reply to the dispatch its outcome is unknown. The query bars an attempt
+    /// that has not started, so "not run" is true from then on.
+    pub(crate) fn query_runner(&mut self, now_ms: u64, number: u64) -> Option<core::Action> {
+        let query_at_ms = now_ms + QUERY_INTERVAL_MS;
         self.in_flight
-            .change(number, |flight| flight.ask_ms = ask_ms);
-        let flight = self.in_flight.get(number)?;
-        let peer = &self.members.runner(flight.runner)?.peer;
+            .change(number, |pending| pending.query_at_ms = query_at_ms);
+        let pending = self.in_flight.get(number)?;
+        let peer = &self.members.runner(pending.runner)?.peer;
         let fence = wire::Fence {
             version: wire::VERSION,
             incarnation: peer.incarnation,
@@ -381,8 +395,8 @@
                 owner: self.me.incarnation,
                 number,
             }],
-            bar: flight.is_lost || flight.is_stopping,
-            stop: flight.is_stopping,
+            bar: pending.is_reply_lost || pending.is_stopping,
+            stop: pending.is_stopping,
         };
         self.counts.wasted += 1;
         Some(core::Action::Fence {
@@ -392,14 +406,14 @@
     }
 }
 
-/// Whether "it did not and will not start" is said by a runner that may have
-/// forgotten that it did.
-const fn is_unsure(flight: &core::InFlight, outcome: &wire::Outcome, epoch: u64) -> bool {
-    let is_promise = matches!(
+/// Returns whether a "will not start" reply comes from a runner that may have forgotten
+/// that the attempt started.
+const fn may_be_forgotten(pending: &core::InFlight, outcome: &wire::Outcome, epoch: u64) -> bool {
+    let is_not_started = matches!(
         outcome,
         wire::Outcome::NotStarted {
             code: codes::Code::Fenced | codes::Code::StaleDispatch
         }
     );
-    is_promise && flight.epoch.saturating_add(1) < epoch
+    is_not_started && pending.epoch.saturating_add(1) < epoch
 }
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -1,4 +1,4 @@
-//! What callers ask of an entry: tickets, submissions, answers, cancelling.
+//! Handling of callers' requests: tickets, submissions, fetches and cancellations.
 
 use std::cmp;
 use std::hash;
@@ -20,26 +20,26 @@
 use crate::leading;
 use crate::wire;
 
-/// Most tickets given at once.
+/// Maximum number of tickets per request.
 pub const MAX_TICKETS: u32 = 1_000;
 
-/// What a call about a submission comes to.
+/// The result of a call about a submission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// The last word, or a refusal.
+    /// An answer to return at once: final, a refusal or a temporary code.
     Answer(Box<api::Answer>),
-    /// It is open here; wait for [`core::Action::Answer`] under this key.
+    /// The submission is open here; wait for [`core::Action::Answer`] with this key.
     Open(jobs::Key),
-    /// It belongs to this other entry.
+    /// Another entry owns the submission.
     Forward {
-        /// The owner.
+        /// The entry that owns the submission.
         owner: wire::Peer,
-        /// What to say if it does not answer, and whether that is the last word.
+        /// Result code if the owner does not reply, and whether that code is final.
         if_silent: (codes::Code, bool),
-        /// The ticket to submit it under there, where it had no id.
+        /// Ticket of the owner to submit under, if the submission had no id.
         ticket: Option<ids::SubmissionId>,
     },
-    /// Its claim is under way; look again at [`core::Action::ClaimSettled`].
+    /// The claim on its id is pending; repeat the call on [`core::Action::ClaimSettled`].
     Claiming(claims::ScopedId),
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Where a submission id belongs.
+/// The owner of a submission id, as far as it is known.
 enum Owner {
     Here,
     Other {
@@ -78,11 +78,13 @@
 }
 
 impl core::Core {
-    /// Tickets, each of which only the life that minted it may ever start.
+    /// Issues tickets to a caller.
+    ///
+    /// Only the incarnation that issued a ticket may ever start its submission.
     pub fn tickets(&mut self, now_ms: u64, order: &api::TicketOrder) -> api::Tickets {
         let count = order.count.clamp(1, MAX_TICKETS);
-        let leader = self.leader_to_pass_to(now_ms);
-        let ticket = |_| self.ticket_ahead(now_ms, leader.as_ref());
+        let leader = self.pass_on_target(now_ms);
+        let ticket = |_| self.advance_ticket(now_ms, leader.as_ref());
         let tickets = (0..count).map(ticket).collect();
         let retain_ms = u64::from(self.settings.timeouts.retain_ms);
         api::Tickets {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Mints a ticket that only this life may ever start.
+    /// Issues a ticket whose submission only this incarnation may ever start.
     pub fn ticket(&mut self) -> ids::SubmissionId {
         let number = self.next_ticket;
         self.next_ticket += 1;
@@ -103,20 +105,20 @@
         })
     }
 
-    /// A caller submits, or repeats a submission.
+    /// Handles a caller's submission, new or repeated.
     pub fn submit(
         &mut self,
         now_ms: u64,
         team: &SmolStr,
         submission: api::Submission,
     ) -> (Reply, Vec<core::Action>) {
-        let mut actions = self.wake(now_ms);
-        let (reply, more) = self.submit_awake(now_ms, team, submission);
+        let mut actions = self.catch_up(now_ms);
+        let (reply, more) = self.route_submission(now_ms, team, submission);
         actions.extend(more);
         (reply, actions)
     }
 
-    fn submit_awake(
+    fn route_submission(
         &mut self,
         now_ms: u64,
         team: &SmolStr,
@@ -168,17 +170,17 @@
     ) -> (Reply, Vec<core::Action>) {
         let fingerprint = fingerprint(&submission);
         if let Some(key) = self.jobs.find(team, &id) {
-            return (self.repeated(now_ms, key, fingerprint, id), Vec::new());
+            return (self.answer_repeat(now_ms, key, fingerprint, id), Vec::new());
         }
         let is_known_to_caller = submission.submission.is_some();
         let deadline = submission.deadline_ms;
-        let wanted = deadline.unwrap_or_else(|| self.settings.timeouts.deadline_ms.into());
+        let allowed_ms = deadline.unwrap_or_else(|| self.settings.timeouts.deadline_ms.into());
         let header = jobs::Header {
             id,
             team: team.clone(),
             fingerprint,
             arrived_ms: now_ms,
-            deadline_ms: now_ms.saturating_add(wanted),
+            deadline_ms: now_ms.saturating_add(allowed_ms),
             is_idempotent: submission.idempotent,
         };
         if let Some(refusal) = self.refusal(now_ms, team, &header.id, &submission) {
@@ -193,11 +195,11 @@
         self.retries.earn(submission.tasks.len(), policy);
         let key = self.jobs.insert(jobs::Open::new(header, submission.tasks));
         self.enqueue_all(now_ms, key);
-        (Reply::Open(key), self.pump(now_ms))
+        (Reply::Open(key), self.dispatch_queued(now_ms))
     }
 
-    /// A repeat is answered from what the first one came to, never started anew.
-    fn repeated(
+    /// Answers a repeated submission from the state of the first one; nothing starts again.
+    fn answer_repeat(
         &mut self,
         now_ms: u64,
         key: jobs::Key,
@@ -208,21 +210,22 @@
         if known.is_some_and(|known| known.fingerprint() != fingerprint) {
             return Reply::plain(Some(id), codes::Code::ContentConflict, true);
         }
-        self.told_again(now_ms, key, &id)
+        self.current_reply(now_ms, key, &id)
     }
 
-    /// What is kept of the answer, or that it is to be waited for.
-    fn told_again(&mut self, now_ms: u64, key: jobs::Key, id: &ids::SubmissionId) -> Reply {
+    /// Returns what is stored of the answer, or [`Reply::Open`] while there is none.
+    fn current_reply(&mut self, now_ms: u64, key: jobs::Key, id: &ids::SubmissionId) -> Reply {
         self.jobs.touch(now_ms, key);
         let known = self.jobs.get(key);
         let answer = known.and_then(|known| known.answer(Some(id)));
         answer.map_or(Reply::Open(key), |answer| Reply::Answer(Box::new(answer)))
     }
 
-    /// Refuses a submission; one that may come again is refused for good.
+    /// Refuses a submission and remembers the refusal if the caller can repeat the call.
     ///
-    /// Without room to remember the refusal it is not the last word. Of a ticket
-    /// minted for this very call nobody else knows, and it is not told.
+    /// A refusal that cannot be remembered for lack of space is not final. If the ticket
+    /// was issued for this call only, no repeat can carry it: the answer omits it, and the
+    /// refusal is not remembered.
     fn refuse(
         &mut self,
         header: jobs::Header,
@@ -253,12 +256,16 @@
         }
     }
 
-    /// Why an id that this life owns can't be used any more, though it is not
-    /// remembered.
+    /// Returns why an id that this incarnation owns but does not remember is no longer
+    /// usable, or `None` if it is usable.
     ///
-    /// A ticket older than the window may have been used, and its submission be
-    /// forgotten: the truth is "may have run".
-    pub(crate) fn past_use(&self, team: &SmolStr, id: &ids::SubmissionId) -> Option<codes::Code> {
+    /// A ticket from an epoch outside the retention window may have been used and its
+    /// submission forgotten, so the result is "may have run".
+    pub(crate) fn unusable_code(
+        &self,
+        team: &SmolStr,
+        id: &ids::SubmissionId,
+    ) -> Option<codes::Code> {
         let ids::SubmissionId::Ticket(ticket) = id else {
             let used = claims::ClaimState::Mine { is_used: true };
             let is_used = self.standing(team, id) == Some(used);
@@ -271,7 +278,7 @@
         (!epochs.contains(ticket.epoch)).then_some(codes::Code::AnswerExpired)
     }
 
-    /// A caller asks for an answer.
+    /// Handles a caller's request for the answer to a submission.
     pub fn fetch(&mut self, now_ms: u64, team: &SmolStr, id: &ids::SubmissionId) -> Reply {
         match self.owner(now_ms, team, id) {
             Owner::Other { owner, if_silent } => Reply::forward(owner, if_silent),
@@ -288,31 +295,31 @@
         let Some(key) = self.jobs.find(team, id) else {
             return self.fetch_unknown(team, id);
         };
-        self.told_again(now_ms, key, id)
+        self.current_reply(now_ms, key, id)
     }
 
-    /// Nothing came under an id that this life owns, or it was forgotten.
+    /// Answers a fetch for an id that this incarnation owns but has no submission for.
     ///
-    /// A question may overtake the submission: that one lies in a silent connection, or
-    /// in a buffer of this process while it is frozen, and both are read in any order after
-    /// the thaw. So "nothing is known" is not the last word while the id can be used; a
-    /// caller who took it for that would submit anew, and both would start.
+    /// A fetch may overtake its submission, which may be delayed in a stalled connection
+    /// or, while this process is suspended, in a receive buffer; the order in which both
+    /// are read afterwards is undefined. "Unknown" is therefore not final while the id is
+    /// usable: a caller that took it as final would submit again, and both would start.
     fn fetch_unknown(&self, team: &SmolStr, id: &ids::SubmissionId) -> Reply {
-        let (code, is_final) = match self.past_use(team, id) {
+        let (code, is_final) = match self.unusable_code(team, id) {
             Some(code) => (code, true),
             None => (codes::Code::UnknownSubmission, false),
         };
         Reply::plain(Some(id.clone()), code, is_final)
     }
 
-    /// A caller cancels.
+    /// Handles the cancellation of a submission.
     pub fn cancel(
         &mut self,
         now_ms: u64,
         team: &SmolStr,
         id: &ids::SubmissionId,
     ) -> (Reply, Vec<core::Action>) {
-        let mut actions = self.wake(now_ms);
+        let mut actions = self.catch_up(now_ms);
         let reply = self.fetch(now_ms, team, id);
         if let Reply::Open(key) = reply {
             let code = codes::Code::CancelledNotRun;
@@ -321,7 +328,8 @@
         (reply, actions)
     }
 
-    /// What to say of a submission that is still open when a call's wait is over.
+    /// Returns the answer for a call whose wait has ended: a pending one while the
+    /// submission is open, else what is stored of the final one.
     pub fn pending(&self, now_ms: u64, key: jobs::Key) -> Option<api::Answer> {
         match self.jobs.get(key)? {
             jobs::table::Submission::Open(open) => Some(answer::pending(open, now_ms)),
@@ -329,13 +337,15 @@
         }
     }
 
-    /// Only the life that minted a ticket, or made the first claim on an own id, may
-    /// start its submission.
+    /// Returns the owner of a submission id.
+    ///
+    /// Only the incarnation that issued a ticket, or made the first claim on a
+    /// client-chosen id, may start its submission.
     fn owner(&self, now_ms: u64, team: &SmolStr, id: &ids::SubmissionId) -> Owner {
         let Some(name) = claiming::claim_name(team, id) else {
             return match id {
                 ids::SubmissionId::Ticket(ticket) => {
-                    self.holder(now_ms, &ticket.entry, ticket.incarnation)
+                    self.owning_entry(now_ms, &ticket.entry, ticket.incarnation)
                 }
                 ids::SubmissionId::Own(_) => Owner::Unknown(codes::Code::BadTicket, true),
             };
@@ -347,21 +357,22 @@
             claims::ClaimState::Barred { is_mine } => {
                 Owner::Unknown(codes::Code::ClaimUnavailable, is_mine)
             }
-            claims::ClaimState::Other(by) => self.holder(now_ms, &by.entry, by.incarnation),
+            claims::ClaimState::Other(by) => self.owning_entry(now_ms, &by.entry, by.incarnation),
         }
     }
 
-    /// Where the life that owns a submission is to be found. Another entry passes
-    /// the call on to it, and when it does not answer says that it may have run: it
-    /// can't know, and so never starts it.
-    fn holder(&self, now_ms: u64, name: &SmolStr, incarnation: ids::Incarnation) -> Owner {
+    /// Locates the entry incarnation that owns a submission.
+    ///
+    /// Calls are forwarded to it. If it does not reply, the answer is "may have run":
+    /// this entry cannot know whether the submission started, and so never starts it.
+    fn owning_entry(&self, now_ms: u64, name: &SmolStr, incarnation: ids::Incarnation) -> Owner {
         const SILENT: (codes::Code, bool) = (codes::Code::OwnerSilent, false);
         const GONE: (codes::Code, bool) = (codes::Code::OwnerGone, true);
         if *name == self.me.name {
             return match incarnation.cmp(&self.me.incarnation) {
                 cmp::Ordering::Equal => Owner::Here,
                 cmp::Ordering::Less => Owner::Unknown(GONE.0, GONE.1),
-                // This process was replaced while it was frozen; its successor lives.
+                // This process was replaced while it was suspended; its successor runs.
                 cmp::Ordering::Greater => Owner::Unknown(SILENT.0, SILENT.1),
             };
         }
@@ -374,9 +385,10 @@
             };
         }
         let is_replaced = self.members.is_entry_replaced(name, incarnation);
-        // Whoever lives is heard of in that time; whoever was heard is forgotten in it.
-        let long_ms = dead_after * tick::FORGET_FACTOR;
-        let is_forgotten = self.started_ms.saturating_add(long_ms) <= now_ms;
+        // Within this time every running entry is seen, and every entry that has stopped
+        // is removed from the members.
+        let forget_after_ms = dead_after * tick::FORGET_FACTOR;
+        let is_forgotten = self.started_ms.saturating_add(forget_after_ms) <= now_ms;
         let (code, is_final) = if is_replaced || is_forgotten {
             GONE
         } else {
@@ -386,7 +398,7 @@
     }
 }
 
-/// Tells a repeat of a submission from other content under the same id.
+/// Hashes the content of a submission, to tell a repeat from other content under its id.
 fn fingerprint(submission: &api::Submission) -> u64 {
     let mut hasher = hash::DefaultHasher::new();
     submission.idempotent.hash(&mut hasher);
--- a/src/entry/claim_calls.rs
+++ b/src/entry/claim_handlers.rs
@@ -1,4 +1,4 @@
-//! The control thread's part in claims: appending, reading back, waking calls.
+//! The control thread's handling of claims: appends, reads and calls that wait for them.
 
 use actix::AsyncContext as _;
 use tokio::sync::oneshot;
@@ -11,7 +11,7 @@
 use crate::jobs;
 use crate::wire;
 
-/// Whether a call is about an own id, and may have to wait for a claim.
+/// Returns whether a call names a client-chosen id and may have to wait for its claim.
 pub(super) const fn needs_claim(call: &wire::Call) -> bool {
     match call {
         wire::Call::Submit(submission) => {
@@ -29,8 +29,8 @@
         claims::log::append(&self.parts.pool, log, record, cx.address().recipient());
     }
 
-    /// Makes the call once more when the claim is settled, one way or the other.
-    pub(super) fn call_again(
+    /// Repeats the call once the claim is settled, whatever the outcome.
+    pub(super) fn call_after_claim(
         &mut self,
         cx: &actix::Context<Self>,
         name: claims::ScopedId,
@@ -40,7 +40,7 @@
         self.claim_waiters.entry(name).or_default().push(tx);
         let control = cx.address();
         Box::pin(async move {
-            // The settling drops the sender, which ends the wait like a message would.
+            // Settling the claim drops the sender, so the wait ends with an error.
             let _settled = rx.await;
             control.send(message).await.unwrap_or_else(|_ended| {
                 let answer = jobs::answer::bare(None, codes::Code::OwnerGone, true);
@@ -56,7 +56,7 @@
     fn handle(&mut self, message: claims::log::ClaimsRead, cx: &mut Self::Context) -> u64 {
         let now_ms = self.now_ms();
         let actions = self.core.claims_read(now_ms, message.page.as_ref());
-        self.act(cx, actions);
+        self.execute(cx, actions);
         self.core.claims_position()
     }
 }
@@ -67,6 +67,6 @@
     fn handle(&mut self, _message: claims::log::Appended, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         let actions = self.core.claims_appended(now_ms);
-        self.act(cx, actions);
+        self.execute(cx, actions);
     }
 }
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -1,4 +1,4 @@
-//! What claims on the clients' own submission ids come to at an entry.
+//! Claims on submission ids that clients choose themselves.
 
 use smol_str::SmolStr;
 
@@ -9,18 +9,18 @@
 use crate::ids;
 use crate::jobs::answer;
 
-/// When to come back with an id that could not be claimed, in milliseconds.
+/// Retry delay given to callers whose id could not be claimed, in milliseconds.
 const CLAIM_RETRY_MS: u64 = 1_000;
 
 impl core::Core {
-    /// How far the stream of claims was read.
+    /// Returns the position up to which the claims stream was read.
     pub const fn claims_position(&self) -> u64 {
         self.claims.position()
     }
 
-    /// The stream of claims was read, or did not answer.
+    /// Handles a page read from the claims stream, or `None` if the log did not respond.
     pub fn claims_read(&mut self, now_ms: u64, page: Option<&claims::Page>) -> Vec<core::Action> {
-        let mut actions = self.wake(now_ms);
+        let mut actions = self.catch_up(now_ms);
         if let Some(page) = page {
             let settled = self.claims.apply(now_ms, page);
             actions.extend(settled.into_iter().map(core::Action::ClaimSettled));
@@ -31,7 +31,7 @@
         actions
     }
 
-    /// An append of claims ended.
+    /// Handles the end of an append to the claims stream.
     pub fn claims_appended(&mut self, now_ms: u64) -> Vec<core::Action> {
         self.claims.append_ended();
         self.append_claims(now_ms).into_iter().collect()
@@ -48,12 +48,17 @@
     }
 
     pub(crate) fn expire_claims(&mut self, now_ms: u64) -> Vec<core::Action> {
-        let over = self.claims.expire(now_ms);
-        over.into_iter().map(core::Action::ClaimSettled).collect()
+        let expired = self.claims.expire(now_ms);
+        expired
+            .into_iter()
+            .map(core::Action::ClaimSettled)
+            .collect()
     }
 
-    /// The call started nothing. That is not the last word on the id unless this life
-    /// owns it: the same id may have been claimed through another entry.
+    /// Builds the refusal for an id that could not be claimed; the call started nothing.
+    ///
+    /// The refusal is final only if this incarnation owns the id. Otherwise the same id
+    /// may have been claimed through another entry.
     pub(crate) fn claim_unavailable(
         &mut self,
         team: &SmolStr,
@@ -69,7 +74,7 @@
         }
     }
 
-    /// How an own id stands; none: it is a ticket.
+    /// Returns the state of the claim on a client-chosen id, or `None` for a ticket.
     pub(crate) fn standing(
         &self,
         team: &SmolStr,
@@ -80,7 +85,7 @@
     }
 }
 
-/// The name under which an own id is claimed.
+/// Returns the name under which a client-chosen id is claimed, or `None` for a ticket.
 pub(crate) fn claim_name(team: &SmolStr, id: &ids::SubmissionId) -> Option<claims::ScopedId> {
     match id {
         ids::SubmissionId::Own(text) => Some((team.clone(), text.clone())),
--- a/src/entry/ending.rs
+++ b/src/entry/completion.rs
@@ -1,11 +1,13 @@
-//! Deciding the fates of tasks, and ending submissions with their answers.
+//! Recording the outcomes of tasks, and ending submissions with their answers.
 
 use crate::codes;
 use crate::entry::core;
 use crate::jobs;
 
 impl core::Core {
-    /// Decides a task's fate; a fate other than success ends its whole submission.
+    /// Records the outcome of a task.
+    ///
+    /// Any outcome other than success gives up the whole submission.
     pub(crate) fn decide(
         &mut self,
         now_ms: u64,
@@ -18,15 +20,16 @@
         let was_given_up = open.give_up_reason().is_some();
         self.jobs.decide(now_ms, task, decided);
         let open = self.jobs.open_at(task.submission);
-        let is_new = |open: &jobs::Open| open.give_up_reason().is_some() && !open.is_decided();
-        if !was_given_up && open.is_some_and(is_new) {
+        let is_newly_given_up = |open: &jobs::Open| open.give_up_reason().is_some() && !open.is_decided();
+        if !was_given_up && open.is_some_and(is_newly_given_up) {
             return self.give_up(now_ms, task.submission, codes::Code::NotNeeded);
         }
         self.settle(now_ms, task.submission)
     }
 
-    /// Ends a submission early: what waits is not run, what runs is stopped, and
-    /// the answer follows as soon as the fate of the latter is known.
+    /// Gives up a submission: queued tasks do not run and dispatched ones are stopped.
+    ///
+    /// The answer follows once the outcome of every dispatched task is known.
     pub(crate) fn give_up(
         &mut self,
         now_ms: u64,
@@ -63,7 +66,7 @@
         actions
     }
 
-    /// Gives the answer if every task is decided.
+    /// Answers the submission if the outcome of every task is known.
     pub(crate) fn settle(&mut self, now_ms: u64, key: jobs::Key) -> Vec<core::Action> {
         let Some(answer) = self.jobs.settle(key, now_ms) else {
             return Vec::new();
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of an entry: one actor that owns all state.
+//! The control thread of an entry: an actor that owns all its state.
 
 use std::collections;
 use std::sync;
@@ -22,35 +22,36 @@
 use crate::streams;
 use crate::wire;
 
-/// How often time is looked at.
-const TICK: time::Duration = time::Duration::from_millis(20);
+/// Interval between two ticks of the state machine.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// Least time for which a stopping entry goes on serving, so that callers fetch
-/// the answers that they were promised, and so that a balancer that asks `/readyz`
-/// every second sends nothing more when the port is closed: connections that the
-/// system took and the process did not are reset then.
-const LINGER_MS: u64 = 2_000;
+/// Minimum time for which a draining entry keeps serving.
+///
+/// Callers need it to fetch pending answers, and a load balancer that polls `/readyz`
+/// every second needs it to stop routing here before the port closes: connections that
+/// the kernel accepted and the process did not are reset at that moment.
+const MIN_LINGER_MS: u64 = 2_000;
 
 type Waiter = oneshot::Sender<Box<api::Answer>>;
 
-/// What the control thread is made of.
+/// The parts from which a [`Control`] actor is built.
 #[derive(Debug)]
 pub struct Parts {
-    /// Who this entry is.
+    /// The identity of this entry.
     pub me: wire::Peer,
-    /// Entries to begin with.
+    /// Addresses of the entries to contact first.
     pub entries: Vec<SmolStr>,
-    /// The log service.
+    /// Address of the log service.
     pub log: SmolStr,
-    /// The clock.
+    /// Source of monotonic time.
     pub clock: clock::Clock,
-    /// The traffic threads.
+    /// The threads that send outgoing requests.
     pub pool: sync::Arc<outgoing::Pool>,
-    /// Where the traffic threads see the settings.
+    /// The settings as published to the traffic threads.
     pub snapshot: heartbeats::Snapshot,
 }
 
-/// The actor.
+/// The control actor of an entry.
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
@@ -59,14 +60,14 @@
     pub(super) waiters: collections::HashMap<jobs::Key, Vec<Waiter>>,
     pub(super) claim_waiters: collections::HashMap<claims::ScopedId, Vec<oneshot::Sender<()>>>,
     pub(super) parts: Parts,
-    pub(super) left_ms: Option<u64>,
+    pub(super) leave_started_ms: Option<u64>,
     pub(super) is_published: bool,
     pub(super) search: announcements::Search,
-    pub(super) suspects: collections::HashMap<SmolStr, u64>,
+    pub(super) suspect_until_ms: collections::HashMap<SmolStr, u64>,
 }
 
 impl Control {
-    /// An entry that is not yet in touch with anyone.
+    /// Creates the actor of an entry that has contacted no other process yet.
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let (name, zone) = (parts.me.name.clone(), parts.me.zone.clone());
@@ -80,10 +81,10 @@
             waiters: collections::HashMap::new(),
             claim_waiters: collections::HashMap::new(),
             parts,
-            left_ms: None,
+            leave_started_ms: None,
             is_published: false,
             search: announcements::Search::new(now_ms, seed),
-            suspects: collections::HashMap::new(),
+            suspect_until_ms: collections::HashMap::new(),
         }
     }
 
@@ -91,7 +92,7 @@
         self.parts.clock.now_ms()
     }
 
-    pub(super) fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<core::Action>) {
+    pub(super) fn execute(&mut self, cx: &actix::Context<Self>, actions: Vec<core::Action>) {
         for action in actions {
             match action {
                 core::Action::Dispatch { address, dispatch } => {
@@ -110,12 +111,12 @@
     type Context = actix::Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
-        cx.set_mailbox_capacity(MAILBOX);
-        cx.run_interval(TICK, |actor, cx| {
+        cx.set_mailbox_capacity(MAILBOX_CAPACITY);
+        cx.run_interval(TICK_INTERVAL, |actor, cx| {
             let now_ms = actor.now_ms();
             let actions = actor.core.tick(now_ms);
-            actor.act(cx, actions);
-            actor.announce_if_alone(cx);
+            actor.execute(cx, actions);
+            actor.announce_if_isolated(cx);
         });
         let interval = time::Duration::from_millis(announcements::INTERVAL_MS);
         cx.run_interval(interval, |actor, cx| actor.announce(cx));
@@ -133,19 +134,19 @@
             self.parts.log.clone(),
             cx.address().recipient(),
         );
-        self.keep_sending_heartbeats(cx);
+        self.schedule_heartbeats(cx);
     }
 }
 
-/// Messages that may wait for the control thread.
-const MAILBOX: usize = 4_096;
+/// Maximum number of messages queued for the control thread.
+const MAILBOX_CAPACITY: usize = 4_096;
 
 impl actix::Handler<control::Leave> for Control {
     type Result = actix::MessageResult<control::Leave>;
 
     fn handle(&mut self, _message: control::Leave, cx: &mut Self::Context) -> Self::Result {
         self.core.leave();
-        self.left_ms = Some(self.now_ms());
+        self.leave_started_ms = Some(self.now_ms());
         self.send_heartbeats(cx);
         let drain_ms = self.core.settings().timeouts.drain_ms;
         actix::MessageResult(time::Duration::from_millis(drain_ms.into()))
@@ -156,10 +157,10 @@
     type Result = bool;
 
     fn handle(&mut self, _message: control::IsDrained, _cx: &mut Self::Context) -> bool {
-        let lingered = self
-            .left_ms
-            .is_some_and(|left| left + LINGER_MS <= self.now_ms());
-        lingered && self.core.open() == 0
+        let has_lingered = self
+            .leave_started_ms
+            .is_some_and(|started_ms| started_ms + MIN_LINGER_MS <= self.now_ms());
+        has_lingered && self.core.open() == 0
     }
 }
 
@@ -168,6 +169,6 @@
 
     fn handle(&mut self, _message: control::Abandon, cx: &mut Self::Context) {
         let actions = self.core.abandon(self.now_ms());
-        self.act(cx, actions);
+        self.execute(cx, actions);
     }
 }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -1,10 +1,10 @@
-//! An entry's state and what it is to do, without network, clock or randomness.
+//! The entry's state machine, without network, clock or system randomness.
 //!
-//! What happens comes in as method calls with the monotonic time in milliseconds;
-//! what is to be done goes out as [`Action`]s. The methods stand in the modules
-//! beside this one: [`crate::entry::calls`] for callers, [`crate::entry::attempts`]
-//! for what becomes of dispatches, [`crate::entry::pump`] for handing out work and
-//! [`crate::entry::tick`] for time.
+//! Events come in as method calls with the monotonic time in milliseconds, and the
+//! resulting work is returned as [`Action`]s. The methods are implemented in sibling
+//! modules: [`crate::entry::calls`] for callers, [`crate::entry::attempts`] for the
+//! outcomes of dispatches, [`crate::entry::scheduling`] for placing queued tasks and
+//! [`crate::entry::tick`] for timers.
 
 use std::sync;
 
@@ -16,7 +16,7 @@
 use crate::api;
 use crate::claims;
 use crate::claims::pace;
-use crate::entry::flights;
+use crate::entry::inflight;
 use crate::freshness;
 use crate::health;
 use crate::ids;
@@ -31,37 +31,37 @@
 use crate::settings;
 use crate::wire;
 
-/// What the entry's surroundings must do.
+/// An effect that the driver of the state machine has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send this to a runner and report how it ended.
+    /// Send a dispatch to a runner and report its reply or error.
     Dispatch {
         /// The runner's address.
         address: SmolStr,
-        /// The message.
+        /// The dispatch to send.
         dispatch: Box<wire::Dispatch>,
     },
-    /// Ask a runner on a fresh connection and report its answer.
+    /// Send a fence to a runner on a fresh connection and report its reply.
     Fence {
         /// The runner's address.
         address: SmolStr,
-        /// The message.
+        /// The fence to send.
         fence: wire::Fence,
     },
-    /// Tell all who wait for this submission.
+    /// Send the final answer to every call that waits for this submission.
     Answer {
-        /// Which.
+        /// The submission's key.
         submission: jobs::Key,
         /// The final answer.
         answer: Box<api::Answer>,
     },
-    /// Append this to the log's stream of claims and report when that ended.
+    /// Append a record to the log's claims stream and report when the append ends.
     AppendClaims(claims::Record),
-    /// Have the calls about this id looked at again.
+    /// Repeat the calls that wait for the claim on this id.
     ClaimSettled(claims::ScopedId),
 }
 
-/// An attempt that was handed to a runner and is not settled.
+/// An attempt that was sent to a runner and has no known outcome yet.
 #[derive(Clone, Debug)]
 pub struct InFlight {
     /// The task.
@@ -70,30 +70,31 @@
     pub runner: membership::RunnerKey,
     /// The runner's epoch that the dispatch carried.
     pub epoch: u64,
-    /// Who pays.
+    /// The team whose share the run time is charged to.
     pub team: queue::TeamKey,
-    /// What it is expected to take.
+    /// The resources accounted for on the runner.
     pub need: wire::Resources,
-    /// Its team and kind.
+    /// The team and kind of the task, as the health tracker knows them.
     pub kind: health::Kind,
-    /// How long it is expected to run, in milliseconds.
+    /// Expected run time in milliseconds.
     pub expected_ms: u64,
-    /// Its place in the queue, should it come back unstarted.
+    /// Queue rank to restore if the task is requeued unstarted.
     pub rank_ms: u64,
-    /// When it was handed over.
+    /// When the dispatch was sent.
     pub sent_ms: u64,
-    /// Whether a slot seemed free, so that it runs since then.
-    pub had_slot: bool,
-    /// When to ask about it if nothing is heard.
-    pub ask_ms: u64,
-    /// Whether the answer to its dispatch can't come any more.
-    pub is_lost: bool,
-    /// Whether it is to be stopped.
+    /// Whether the runner had a free slot at that time, so that the task is taken to
+    /// have started at once.
+    pub had_free_slot: bool,
+    /// When to query the runner if no reply has arrived.
+    pub query_at_ms: u64,
+    /// Whether the reply to the dispatch can no longer arrive.
+    pub is_reply_lost: bool,
+    /// Whether the attempt is being stopped.
     pub is_stopping: bool,
 }
 
 impl InFlight {
-    /// The task as it waited before it was handed out.
+    /// Returns the queue item that this attempt was dispatched from.
     pub(crate) const fn item(&self) -> queue::Item {
         queue::Item {
             task: self.task,
@@ -104,32 +105,32 @@
     }
 }
 
-/// Counts for the metrics.
+/// Counters exported as metrics.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Dispatches sent.
     pub dispatches: u64,
     /// Tasks known to have started.
     pub started: u64,
-    /// Messages that moved nothing forward: refused dispatches, fences, late answers.
+    /// Messages without progress: refused dispatches, fences and late replies.
     pub wasted: u64,
-    /// Submissions taken in.
+    /// Submissions accepted.
     pub accepted: u64,
     /// Submissions refused.
     pub refused: u64,
-    /// Answers complete.
+    /// Submissions that ended complete.
     pub complete: u64,
-    /// Answers failed.
+    /// Submissions that ended otherwise.
     pub failed: u64,
     /// Retries of idempotent tasks that may have run.
     pub retries: u64,
     /// Submissions passed on to the leading entry.
     pub passed_on: u64,
-    /// Submissions sent on to the entry that minted their ticket or claimed their id.
+    /// Submissions forwarded to the entry that issued their ticket or claimed their id.
     pub forwarded: u64,
 }
 
-/// The state of one life of one entry.
+/// The state of one incarnation of an entry.
 #[derive(Debug)]
 pub struct Core {
     pub(crate) me: wire::Peer,
@@ -145,14 +146,14 @@
     pub(crate) claim_pace: pace::Pace,
     pub(crate) queue: queue::Queue,
     pub(crate) retries: retry::Retries,
-    pub(crate) in_flight: flights::Flights,
+    pub(crate) in_flight: inflight::Attempts,
     pub(crate) drain: drain::DrainRate,
     pub(crate) returning: retry_after::RefusedWork,
-    /// An equal part of all slots in service, beside the other entries.
-    pub(crate) part: f64,
+    /// Slots in service divided by the number of live entries.
+    pub(crate) fair_share: f64,
     pub(crate) no_runner_since_ms: Option<u64>,
     pub(crate) learned: learning::Table,
-    /// Slots in service, as of the last tick.
+    /// Slots in service as of the last tick.
     pub(crate) slots: u32,
     pub(crate) stock: leading::TicketStock,
     pub(crate) next_attempt: u64,
@@ -165,7 +166,7 @@
 }
 
 impl Core {
-    /// An entry that knows of no runner yet; `seed` feeds the breaking of ties.
+    /// Creates an entry that knows no runners; `seed` makes random choices reproducible.
     pub fn new(
         me: wire::Peer,
         settings: sync::Arc<settings::Settings>,
@@ -193,10 +194,10 @@
             claim_pace: pace::Pace::default(),
             queue,
             retries,
-            in_flight: flights::Flights::default(),
+            in_flight: inflight::Attempts::default(),
             drain: drain::DrainRate::new(now_ms),
             returning: retry_after::RefusedWork::default(),
-            part: 0.0,
+            fair_share: 0.0,
             no_runner_since_ms: Some(now_ms),
             learned: learning::Table::default(),
             slots: 0,
@@ -211,62 +212,62 @@
         }
     }
 
-    /// Who this is.
+    /// Returns the identity of this entry.
     pub const fn me(&self) -> &wire::Peer {
         &self.me
     }
 
-    /// The settings in force here.
+    /// Returns the settings in force.
     pub const fn settings(&self) -> &sync::Arc<settings::Settings> {
         &self.settings
     }
 
-    /// What was heard of the settings' freshness.
+    /// Returns the evidence that the settings are current.
     pub const fn freshness(&mut self) -> &mut freshness::Freshness {
         &mut self.freshness
     }
 
-    /// How the runners fare.
+    /// Returns the health records of the runners.
     pub const fn health(&self) -> &health::Health {
         &self.health
     }
 
-    /// The processes known.
+    /// Returns the known runners and entries.
     pub const fn members(&self) -> &membership::Members {
         &self.members
     }
 
-    /// The counts so far.
+    /// Returns the counters since the start of this incarnation.
     pub const fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Whether the entry is stopping.
+    /// Returns whether the entry is draining before a stop.
     pub const fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// How many submissions are open.
+    /// Returns the number of open submissions.
     pub const fn open(&self) -> usize {
         self.jobs.open()
     }
 
-    /// How many tasks wait here.
+    /// Returns the number of queued tasks.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// How many tasks are handed out.
+    /// Returns the number of attempts in flight.
     pub fn dispatched(&self) -> usize {
         self.in_flight.len()
     }
 
-    /// The entry is to stop: it takes nothing new and brings to an end what it has.
+    /// Starts draining: new submissions are refused and open ones run to their end.
     pub const fn leave(&mut self) {
         self.is_leaving = true;
     }
 
-    /// New settings are in force; what waits may have somewhere else to go.
+    /// Puts new settings in force and dispatches queued tasks that they make placeable.
     pub fn set_settings(
         &mut self,
         now_ms: u64,
@@ -275,40 +276,40 @@
     ) -> Vec<Action> {
         self.ramps
             .change(now_ms, &self.settings, &settings, revision);
-        let mut actions = self.wake(now_ms);
+        let mut actions = self.catch_up(now_ms);
         self.queue.configure(&settings.teams);
         let teams = self.queue.teams();
         self.returning.retain(|key| teams.get(key).is_some());
         self.settings = settings;
         self.revision = revision;
-        actions.extend(self.pump(now_ms));
+        actions.extend(self.dispatch_queued(now_ms));
         actions
     }
 
-    /// A runner or another entry said that it is there.
+    /// Handles a heartbeat from a runner or another entry and returns the reply.
     pub fn heartbeat(
         &mut self,
         now_ms: u64,
         heartbeat: &wire::Heartbeat,
     ) -> (wire::HeartbeatReply, Vec<Action>) {
-        let mut actions = self.wake(now_ms);
+        let mut actions = self.catch_up(now_ms);
         let mut tickets = None;
         match heartbeat.sender.role {
             wire::Role::Runner => {
-                let heard = self.members.record_runner(now_ms, heartbeat);
-                if let membership::Update::Replaced(old) = heard {
-                    actions.extend(self.runner_over(now_ms, old));
+                let observed = self.members.record_runner(now_ms, heartbeat);
+                if let membership::Update::Replaced(old) = observed {
+                    actions.extend(self.runner_lost(now_ms, old));
                     self.members.remove_replaced(old);
                 }
-                actions.extend(self.pump(now_ms));
+                actions.extend(self.dispatch_queued(now_ms));
             }
             wire::Role::Entry => {
-                let news = membership::EntryStatus {
+                let state = membership::EntryStatus {
                     is_leaving: heartbeat.leaving,
                     revision: heartbeat.revision,
                     slots: heartbeat.slots,
                 };
-                self.members.record_entry(now_ms, &heartbeat.sender, news);
+                self.members.record_entry(now_ms, &heartbeat.sender, state);
                 tickets = self.grant_tickets(heartbeat.tickets);
             }
         }
@@ -320,7 +321,7 @@
     }
 
     fn heartbeat_reply(&self, now_ms: u64, held: Option<u64>) -> wire::HeartbeatReply {
-        let named =
+        let names =
             entry_list::EntryList::new(self.me.incarnation, self.live_entries(now_ms), held);
         wire::HeartbeatReply {
             version: wire::VERSION,
@@ -328,25 +329,27 @@
             leaving: self.is_leaving,
             revision: self.revision,
             evidence: self.freshness.evidence(now_ms),
-            entries: named.entries,
-            entries_digest: named.digest,
+            entries: names.entries,
+            entries_digest: names.digest,
             slots: self.slots,
             tickets: None,
             bad_runners: self.bad_runners(),
         }
     }
 
-    /// Entries heard of lately that are not stopping.
+    /// Returns the other entries that are not draining and were last seen less than
+    /// `dead_after_ms` ago.
     pub fn live_entries(&self, now_ms: u64) -> Vec<wire::Peer> {
-        let bound = u64::from(self.settings.timeouts.dead_after_ms);
-        let live = self
-            .members
-            .entries()
-            .filter(|entry| !entry.is_leaving && entry.last_seen_ms.saturating_add(bound) > now_ms);
+        let silence_limit_ms = u64::from(self.settings.timeouts.dead_after_ms);
+        let live = self.members.entries().filter(|entry| {
+            !entry.is_leaving && entry.last_seen_ms.saturating_add(silence_limit_ms) > now_ms
+        });
         live.map(|entry| entry.peer.clone()).collect()
     }
 
-    /// Another entry answered a heartbeat of this one.
+    /// Handles the reply to a heartbeat of this entry.
+    ///
+    /// Returns whether the sender has a newer settings revision than this entry.
     pub fn heartbeat_answered(
         &mut self,
         now_ms: u64,
@@ -354,7 +357,7 @@
         reply: &wire::HeartbeatReply,
     ) -> bool {
         if reply.sender.role == wire::Role::Entry {
-            self.hear_reply(now_ms, reply);
+            self.record_entry_reply(now_ms, reply);
         }
         for peer in reply
             .entries
@@ -372,13 +375,13 @@
         false
     }
 
-    fn hear_reply(&mut self, now_ms: u64, reply: &wire::HeartbeatReply) {
-        let news = membership::EntryStatus {
+    fn record_entry_reply(&mut self, now_ms: u64, reply: &wire::HeartbeatReply) {
+        let state = membership::EntryStatus {
             is_leaving: reply.leaving,
             revision: reply.revision,
             slots: reply.slots,
         };
-        self.members.record_entry(now_ms, &reply.sender, news);
+        self.members.record_entry(now_ms, &reply.sender, state);
         let runners = &reply.bad_runners;
         self.warnings
             .record_report(now_ms, &reply.sender.name, runners);
@@ -387,7 +390,9 @@
         }
     }
 
-    /// The heartbeat to send to another process, where known to that life of it.
+    /// Builds the heartbeat for another process.
+    ///
+    /// It asks for tickets only if the process's incarnation is known.
     pub fn heartbeat_to_send(
         &mut self,
         now_ms: u64,
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -1,4 +1,4 @@
-//! What an entry serves: callers and operators on one port, processes on another.
+//! HTTP API of an entry: one port for callers and operators, one for other processes.
 
 use std::sync;
 
@@ -24,24 +24,25 @@
 use crate::settings;
 use crate::wire;
 
-/// What the handlers share.
+/// State shared by the HTTP handlers.
 #[derive(Clone, Debug)]
 pub struct Shared {
-    /// The control thread.
+    /// Address of the control thread.
     pub control: actix::Addr<control::Control>,
     /// The settings in force.
     pub snapshot: heartbeats::Snapshot,
-    /// This entry's life.
+    /// The incarnation of this entry.
     pub incarnation: ids::Incarnation,
 }
 
-/// Most submissions that one call cancels.
+/// Maximum number of submissions per cancel request.
 pub const MAX_CANCELS: usize = 1_000;
 
-/// How many of them are under way at once: each may need a connection to its owner.
-const CANCELS_AT_ONCE: usize = 64;
+/// Maximum number of concurrent cancellations per request; each may need a connection to
+/// the owner of its submission.
+const MAX_CONCURRENT_CANCELS: usize = 64;
 
-/// Pages for callers and operators.
+/// Registers the routes for callers and operators.
 pub fn public_routes(cfg: &mut web::ServiceConfig) {
     incoming::numbered(cfg);
     cfg.route("/v1/tickets", web::post().to(tickets));
@@ -54,7 +55,7 @@
     cfg.default_service(web::to(incoming::no_such_page));
 }
 
-/// Pages for other processes.
+/// Registers the routes for other processes.
 pub fn peer_routes(cfg: &mut web::ServiceConfig) {
     incoming::numbered(cfg);
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
@@ -65,15 +66,17 @@
 }
 
 impl Shared {
-    /// The settings in force; without any, callers are told that nothing was run
-    /// rather than that their token is unknown.
+    /// Returns the settings in force.
+    ///
+    /// Without settings the error is [`codes::Code::NotFresh`], which says that nothing
+    /// was run, and not that the token is unknown.
     fn settings(&self) -> Result<sync::Arc<settings::Settings>, codes::Code> {
         let snapshot = self.snapshot.read();
         let known = snapshot.ok().and_then(|known| known.clone());
         known.ok_or(codes::Code::NotFresh)
     }
 
-    /// The team whose bearer token came with the request.
+    /// Returns the team whose bearer token the request carries.
     fn team(&self, req: &actix_web::HttpRequest) -> Result<SmolStr, codes::Code> {
         let header = req.headers().get(http::header::AUTHORIZATION);
         let token = header.and_then(|value| value.to_str().ok());
@@ -81,23 +84,23 @@
         let token = token.ok_or(codes::Code::BadToken)?;
         let settings = self.settings()?;
         let hash = hash_token(token);
-        let holds = |team: &settings::Team| team.token_sha256.contains(&hash);
+        let has_token = |team: &settings::Team| team.token_sha256.contains(&hash);
         let mut teams = settings.teams.iter();
         let found = teams
-            .find(|(_, team)| holds(team))
+            .find(|(_, team)| has_token(team))
             .map(|(name, _)| name.clone());
         found.ok_or(codes::Code::BadToken)
     }
 
-    async fn read<T: de::DeserializeOwned>(
+    async fn read_json<T: de::DeserializeOwned>(
         &self,
         payload: web::Payload,
     ) -> Result<T, incoming::Refusal> {
         let settings = self.settings()?;
         let max = settings.limits.max_body_bytes as usize;
         let body = incoming::read_body(payload, max).await?;
-        let bad = |err| incoming::Refusal::new(codes::Code::BadBody, err);
-        serde_json::from_slice(&body).map_err(bad)
+        let to_refusal = |err| incoming::Refusal::new(codes::Code::BadBody, err);
+        serde_json::from_slice(&body).map_err(to_refusal)
     }
 
     pub(super) async fn call(&self, team: SmolStr, call: wire::Call) -> api::Answer {
@@ -115,27 +118,27 @@
                 ticket,
             }) => match (ticket, call) {
                 (Some(ticket), wire::Call::Submit(submission)) => {
-                    forwarding::pass_on(self, &owner, team, submission, ticket).await
+                    forwarding::pass_on_submission(self, &owner, team, submission, ticket).await
                 }
                 (_, call) => {
                     let answer = forwarding::forward(&owner, team, call, wait_ms).await;
-                    answer.unwrap_or_else(|| forwarding::silent(id, if_silent))
+                    answer.unwrap_or_else(|| forwarding::unanswered(id, if_silent))
                 }
             },
-            // The control thread ended with the call before it; it may have taken it in.
+            // The control thread ended with the call in its mailbox and may have accepted it.
             Err(_ended) => answer::bare(id, codes::Code::OwnerGone, true),
         }
     }
 }
 
-/// SHA-256 of a bearer token in lower-case hexadecimal.
+/// Returns the SHA-256 of a bearer token in lower-case hexadecimal.
 pub fn hash_token(token: &str) -> SmolStr {
     use std::fmt::Write as _;
 
     let digest = sha2::Sha256::digest(token.as_bytes());
     let mut hex = smol_str::SmolStrBuilder::new();
     for byte in digest {
-        // Writing to memory does not fail.
+        // Writing to a buffer in memory does not fail.
         let _written = write!(hex, "{byte:02x}");
     }
     hex.finish()
@@ -163,14 +166,14 @@
     req: actix_web::HttpRequest,
     payload: web::Payload,
 ) -> actix_web::HttpResponse {
-    let work = async {
+    let result = async {
         shared.team(&req)?;
-        let order = shared.read(payload).await?;
-        let given = shared.control.send(messages::WantTickets(order)).await;
-        let given = given.map_err(|_ended| codes::Code::Leaving)?;
-        given.map_err(incoming::Refusal::from)
+        let order = shared.read_json(payload).await?;
+        let issued = shared.control.send(messages::IssueTickets(order)).await;
+        let issued = issued.map_err(|_ended| codes::Code::Leaving)?;
+        issued.map_err(incoming::Refusal::from)
     };
-    match work.await {
+    match result.await {
         Ok(tickets) => actix_web::HttpResponse::Ok().json(tickets),
         Err(refusal) => incoming::refuse_for(&refusal),
     }
@@ -203,39 +206,42 @@
     shared: &Shared,
     req: &actix_web::HttpRequest,
     payload: web::Payload,
-    most_tasks: usize,
+    max_tasks: usize,
 ) -> Result<api::Answer, incoming::Refusal> {
     let team = shared.team(req)?;
-    let submission: api::Submission = shared.read(payload).await?;
+    let submission: api::Submission = shared.read_json(payload).await?;
     let settings = shared.settings()?;
-    check(&submission, &settings.limits, most_tasks)?;
+    validate(&submission, &settings.limits, max_tasks)?;
     Ok(shared.call(team, wire::Call::Submit(submission)).await)
 }
 
-fn check(
+fn validate(
     submission: &api::Submission,
     limits: &settings::Limits,
-    most_tasks: usize,
+    max_tasks: usize,
 ) -> Result<(), incoming::Refusal> {
     let tasks = submission.tasks.len();
-    if tasks == 0 || (most_tasks == 1 && tasks > 1) {
-        let detail = format!("{tasks} tasks; a job has one or more, a request exactly one");
+    if tasks == 0 || (max_tasks == 1 && tasks > 1) {
+        let detail = format!(
+            "expected at least one task in a job and exactly one in a request, got {tasks}"
+        );
         return Err(incoming::Refusal::new(codes::Code::BadBody, detail));
     }
-    let most = limits.max_job_tasks;
-    if tasks > most as usize {
-        let detail = format!("{tasks} tasks; at most {most}");
+    let limit = limits.max_job_tasks;
+    if tasks > limit as usize {
+        let detail = format!("expected at most {limit} tasks, got {tasks}");
         return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
     }
-    let most = limits.max_payload_bytes;
-    let is_large = |task: &api::Task| task.payload.len() > most as usize;
+    let limit = limits.max_payload_bytes;
+    let is_large = |task: &api::Task| task.payload.len() > limit as usize;
     if submission.tasks.iter().any(is_large) {
-        let detail = format!("a payload has more than {most} bytes");
+        let detail = format!("a payload exceeds {limit} bytes");
         return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
     }
-    let is_named = |task: &api::Task| task.kind.is_empty() || ids::check_name(&task.kind).is_ok();
-    if !submission.tasks.iter().all(is_named) {
-        let detail = "a kind is no name: 1 to 64 of a-z, A-Z, 0-9, '-' and '_'";
+    let is_kind_valid =
+        |task: &api::Task| task.kind.is_empty() || ids::check_name(&task.kind).is_ok();
+    if !submission.tasks.iter().all(is_kind_valid) {
+        let detail = "invalid kind: expected 1 to 64 of a-z, A-Z, 0-9, '-' and '_'";
         return Err(incoming::Refusal::new(codes::Code::BadBody, detail));
     }
     Ok(())
@@ -253,7 +259,7 @@
     id: web::Path<SmolStr>,
     query: web::Query<FetchQuery>,
 ) -> actix_web::HttpResponse {
-    let work = async {
+    let result = async {
         let team = shared.team(&req)?;
         let submission = parse_id(id.into_inner())?;
         let call = wire::Call::Fetch {
@@ -262,7 +268,7 @@
         };
         Ok(shared.call(team, call).await)
     };
-    respond(work.await)
+    respond(result.await)
 }
 
 async fn cancel(
@@ -270,12 +276,12 @@
     req: actix_web::HttpRequest,
     id: web::Path<SmolStr>,
 ) -> actix_web::HttpResponse {
-    let work = async {
+    let result = async {
         let team = shared.team(&req)?;
         let submission = parse_id(id.into_inner())?;
         Ok(shared.call(team, wire::Call::Cancel { submission }).await)
     };
-    respond(work.await)
+    respond(result.await)
 }
 
 async fn cancel_many(
@@ -283,11 +289,11 @@
     req: actix_web::HttpRequest,
     payload: web::Payload,
 ) -> actix_web::HttpResponse {
-    let work = async {
+    let result = async {
         let team = shared.team(&req)?;
-        let order: api::CancelOrder = shared.read(payload).await?;
+        let order: api::CancelOrder = shared.read_json(payload).await?;
         if order.submissions.len() > MAX_CANCELS {
-            let detail = format!("at most {MAX_CANCELS} submissions");
+            let detail = format!("expected at most {MAX_CANCELS} submissions");
             return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
         }
         let calls = order
@@ -295,12 +301,12 @@
             .into_iter()
             .map(|submission| shared.call(team.clone(), wire::Call::Cancel { submission }));
         let answers = stream::iter(calls)
-            .buffered(CANCELS_AT_ONCE)
+            .buffered(MAX_CONCURRENT_CANCELS)
             .collect()
             .await;
         Ok::<_, incoming::Refusal>(api::Cancelled { answers })
     };
-    match work.await {
+    match result.await {
         Ok(cancelled) => actix_web::HttpResponse::Ok().json(cancelled),
         Err(refusal) => incoming::refuse_for(&refusal),
     }
@@ -318,7 +324,11 @@
     if let Err(code) = incoming::check_peer(&heartbeat.sender) {
         return incoming::refuse(code);
     }
-    match shared.control.send(messages::Heard(heartbeat)).await {
+    match shared
+        .control
+        .send(messages::PeerHeartbeat(heartbeat))
+        .await
+    {
         Ok(reply) => incoming::message(&reply),
         Err(_ended) => incoming::refuse(codes::Code::Leaving),
     }
@@ -332,10 +342,10 @@
     let id = call_id(&forward.call);
     let answer = if forward.incarnation != shared.incarnation {
         answer::bare(id, codes::Code::OwnerGone, true)
-    } else if let Err(refusal) = check_forward(&shared, &forward) {
+    } else if let Err(refusal) = validate_forward(&shared, &forward) {
         refusal.answer(id)
     } else {
-        owned(&shared, forward, id).await
+        handle_owned(&shared, forward, id).await
     };
     incoming::message(&wire::ForwardReply {
         version: wire::VERSION,
@@ -343,21 +353,25 @@
     })
 }
 
-/// The forwarding entry has checked the call by its own settings, which may be
-/// older than those in force here; a job without tasks would never be answered.
-fn check_forward(shared: &Shared, forward: &wire::Forward) -> Result<(), incoming::Refusal> {
+/// Validates a forwarded call against the settings in force here.
+///
+/// The forwarding entry has validated it against its own settings, which may be older. A
+/// job without tasks would never be answered.
+fn validate_forward(shared: &Shared, forward: &wire::Forward) -> Result<(), incoming::Refusal> {
     let settings = shared.settings()?;
     if !settings.teams.contains_key(&forward.team) {
         return Err(codes::Code::BadToken.into());
     }
     match &forward.call {
-        wire::Call::Submit(submission) => check(submission, &settings.limits, usize::MAX),
+        wire::Call::Submit(submission) => validate(submission, &settings.limits, usize::MAX),
         wire::Call::Fetch { .. } | wire::Call::Cancel { .. } => Ok(()),
     }
 }
 
-/// A call is passed on once only, so two entries can't send it to and fro.
-async fn owned(
+/// Handles a forwarded call as its owner.
+///
+/// A call is forwarded only once, so two entries cannot send it back and forth.
+async fn handle_owned(
     shared: &Shared,
     forward: wire::Forward,
     id: Option<ids::SubmissionId>,
@@ -369,6 +383,6 @@
     match shared.control.send(message).await {
         Ok(messages::Resolution::Answer(answer)) => *answer,
         Ok(messages::Resolution::Forward { .. }) => answer::bare(id, codes::Code::OwnerGone, true),
-        Err(_ended) => forwarding::silent(id, (codes::Code::OwnerSilent, false)),
+        Err(_ended) => forwarding::unanswered(id, (codes::Code::OwnerSilent, false)),
     }
 }
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -1,4 +1,4 @@
-//! What an entry under load asks of the queue, admission and learning.
+//! Admission, queueing and learned run times at an entry.
 
 use rand::RngCore as _;
 use smol_str::SmolStr;
@@ -16,24 +16,27 @@
 use crate::settings;
 use crate::wire;
 
-/// Run time expected of a task that declares none, in milliseconds: the middle of
-/// the brief's "50 ms to a second", on a log scale.
+/// Expected run time of a task that declares none, in milliseconds.
+///
+/// It is the geometric mean of the usual range of 50 ms to one second.
 pub const DEFAULT_RUN_MS: u64 = 220;
 
-/// Greatest `policy.park_per_runner`, its default, that gives way to order.
-const SPARE_PARK: u32 = 1;
+/// Default of `policy.park_per_runner`.
+///
+/// [`core::Core::placement_policy`] lowers settings up to this value to keep the queue order.
+const DEFAULT_PARK_PER_RUNNER: u32 = 1;
 
-/// Why a submission is not taken in, and when to come back.
+/// The reason for refusing a submission, and when to retry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// The reason.
+    /// The result code.
     pub code: codes::Code,
-    /// Milliseconds, where time mends it.
+    /// Retry delay in milliseconds, or `None` if waiting does not help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl core::Core {
-    /// Why a submission is not taken in, if so.
+    /// Returns why a submission has to be refused, or `None` if it is acceptable.
     pub(crate) fn refusal(
         &mut self,
         now_ms: u64,
@@ -41,24 +44,24 @@
         id: &ids::SubmissionId,
         submission: &api::Submission,
     ) -> Option<Refusal> {
-        let closed = self.is_leaving.then_some(codes::Code::Leaving);
-        if let Some(code) = self.past_use(team, id).or(closed) {
+        let leaving_code = self.is_leaving.then_some(codes::Code::Leaving);
+        if let Some(code) = self.unusable_code(team, id).or(leaving_code) {
             return Some(Refusal {
                 code,
                 retry_after_ms: None,
             });
         }
-        let asked = self.asked(team, submission);
+        let demand = self.demand(team, submission);
         let view = self.load_view(now_ms, team);
-        let code = self.admission_code(team, submission, &asked, &view)?;
-        let retry_after_ms = self.retry_after_ms(now_ms, team, code, &asked, &view);
+        let code = self.admission_code(team, submission, &demand, &view)?;
+        let retry_after_ms = self.retry_after_ms(now_ms, team, code, &demand, &view);
         Some(Refusal {
             code,
             retry_after_ms,
         })
     }
 
-    fn asked(&self, team: &SmolStr, submission: &api::Submission) -> admission::Demand {
+    fn demand(&self, team: &SmolStr, submission: &api::Submission) -> admission::Demand {
         let estimate = |task: &api::Task| {
             let estimate = self.estimate(team, task);
             (estimate.run_ms, estimate.is_learned)
@@ -73,19 +76,19 @@
         &self,
         team: &SmolStr,
         submission: &api::Submission,
-        asked: &admission::Demand,
+        demand: &admission::Demand,
         view: &admission::LoadSnapshot,
     ) -> Option<codes::Code> {
         let needs = submission.tasks.iter();
         let needs: Vec<_> = needs.map(|task| self.need_of(team, task)).collect();
-        if admission::never_fits(&needs, &self.sizes()) {
+        if admission::never_fits(&needs, &self.worker_sizes()) {
             return Some(codes::Code::NeverFits);
         }
         if self.jobs.len() >= self.settings.limits.max_submissions as usize {
             return Some(codes::Code::EntryQueueFull);
         }
         let quota = self.settings.teams.get(team)?;
-        admission::refusal(asked, view, quota, &self.settings)
+        admission::refusal(demand, view, quota, &self.settings)
     }
 
     fn load_view(&self, now_ms: u64, team: &SmolStr) -> admission::LoadSnapshot {
@@ -102,11 +105,12 @@
         }
     }
 
-    /// For how long there was no runner in service; 0: there is one.
+    /// Returns for how long no runner has been in service; 0 if there is one.
     ///
-    /// A tick notes when there was none. One may have come since, with a heartbeat or with
-    /// the change that brought its zone back, and callers who saw it come must not be told
-    /// that none is there: so a refusal looks again.
+    /// Ticks record the time without runners. A runner may have appeared since the last
+    /// tick, by a heartbeat or by a settings change that brought its zone back. Callers
+    /// that have seen it must not be refused for lack of runners, so the candidates are
+    /// checked again.
     fn no_runner_ms(&self, now_ms: u64) -> u64 {
         let Some(since_ms) = self.no_runner_since_ms else {
             return 0;
@@ -117,31 +121,31 @@
         now_ms.saturating_sub(since_ms).max(1)
     }
 
-    /// Refusals that time does not mend carry no time to come back.
+    /// Returns the retry delay for a refusal, or `None` if waiting does not help.
     fn retry_after_ms(
         &mut self,
         now_ms: u64,
         team: &SmolStr,
         code: codes::Code,
-        asked: &admission::Demand,
+        demand: &admission::Demand,
         view: &admission::LoadSnapshot,
     ) -> Option<u64> {
         if matches!(code, codes::Code::NeverFits | codes::Code::OverQuota) {
             return None;
         }
         let key = self.queue.team_key(team);
-        let allowed = f64::from(self.settings.policy.max_queue_wait_ms);
-        let allowed = allowed.min(asked.deadline_ms as f64);
-        let excess_ms = view.wait_ms(0) - allowed;
+        let allowed_ms = f64::from(self.settings.policy.max_queue_wait_ms);
+        let allowed_ms = allowed_ms.min(demand.deadline_ms as f64);
+        let excess_ms = view.wait_ms(0) - allowed_ms;
         let rate = view.drain_rate * view.share;
         let draw = self.rng.next_u64();
-        let after =
+        let delay_ms =
             self.returning
-                .retry_after_ms(now_ms, key, asked.work_ms, rate, excess_ms, draw);
-        Some(after)
+                .retry_after_ms(now_ms, key, demand.work_ms, rate, excess_ms, draw);
+        Some(delay_ms)
     }
 
-    /// Puts all tasks of a submission just taken in into the queue.
+    /// Queues all tasks of a submission that was just accepted.
     pub(crate) fn enqueue_all(&mut self, now_ms: u64, key: jobs::Key) {
         let Some(open) = self.jobs.open_at(key) else {
             return;
@@ -158,7 +162,7 @@
         let shape = order::JobEstimate {
             longest_ms: order::longest_ms(&expected),
             work_ms: expected.iter().map(|one| one.run_ms).sum(),
-            slots: slots_whole(self.drain.slots()),
+            slots: whole_slots(self.drain.slots()),
         };
         let age_ms = u64::from(self.settings.policy.age_ms);
         let team = self.queue.team_key(&name);
@@ -182,52 +186,52 @@
             .run_time(team, &task.kind, declared_ms, DEFAULT_RUN_MS)
     }
 
-    /// What is accounted for on workers for a task.
+    /// Returns the resources that a task is accounted for on a worker.
     pub(crate) fn need_of(&self, team: &SmolStr, task: &api::Task) -> wire::Resources {
         let declared = wire::Resources::from(task);
         self.learned
-            .need(team, &task.kind, declared, || self.largest())
+            .need(team, &task.kind, declared, || self.largest_worker())
     }
 
-    fn largest(&self) -> wire::Resources {
-        let sizes = self.sizes().into_iter();
-        sizes.fold(wire::Resources::default(), |most, size| most.max(size))
+    fn largest_worker(&self) -> wire::Resources {
+        let worker_sizes = self.worker_sizes().into_iter();
+        worker_sizes.fold(wire::Resources::default(), |most, size| most.max(size))
     }
 
-    fn sizes(&self) -> Vec<wire::Resources> {
+    fn worker_sizes(&self) -> Vec<wire::Resources> {
         let runners = self.members.runners();
         runners.map(|(_, runner)| runner.load.size).collect()
     }
 
-    /// Slots that this entry has in use or could have.
+    /// Returns the number of slots that this entry uses or could use.
     ///
-    /// Those taken by others don't count, but for an equal part of all: runners serve
-    /// entries in turns, so an entry that comes new to full runners soon has its part.
-    fn usable_slots(&self, candidates: &[placement::Candidate], part: f64) -> f64 {
+    /// Slots used by other entries do not count, but the result is at least the fair
+    /// share: runners serve entries in turns, so an entry that is new to full runners
+    /// soon gets its share.
+    fn usable_slots(&self, candidates: &[placement::Candidate], fair_share: f64) -> f64 {
         let free: i64 = candidates.iter().map(|one| one.free_slots.max(0)).sum();
         let parked: u64 = candidates.iter().map(|one| u64::from(one.parked)).sum();
         let running = (self.in_flight.len() as u64).saturating_sub(parked);
-        (running as f64 + free as f64).max(part)
+        (running as f64 + free as f64).max(fair_share)
     }
 
-    /// The policy by which runners are chosen now.
+    /// Returns the policy for choosing runners now.
     ///
-    /// Nothing is sent to wait at a runner while the entry has more than its part of
-    /// the slots: what waits there is not shared between teams, so a task of another
-    /// team, or a shorter one, would wait behind it. An entry with less has its tasks
-    /// wait at runners, since it hears of slots that come free only through the
-    /// answers to its own dispatches. Operators who set more than [`SPARE_PARK`] want
-    /// no slot idle before all else, and have it.
+    /// While the entry uses more than its fair share of the slots, no task is parked at a
+    /// runner: parked tasks are not shared between teams, so a task of another team, or a
+    /// shorter one, would wait behind them. An entry below its share parks tasks, since it
+    /// learns of freed slots only from the replies to its own dispatches. A setting above
+    /// [`DEFAULT_PARK_PER_RUNNER`] asks for busy slots rather than queue order and is kept.
     pub(crate) fn placement_policy(&self) -> settings::Policy {
         let mut policy = self.settings.policy;
-        let is_asked_for = policy.park_per_runner > SPARE_PARK;
-        if !is_asked_for && self.in_flight.len() as f64 > self.part {
+        let is_raised = policy.park_per_runner > DEFAULT_PARK_PER_RUNNER;
+        if !is_raised && self.in_flight.len() as f64 > self.fair_share {
             policy.park_per_runner = 0;
         }
         policy
     }
 
-    /// A task ended at its backend server.
+    /// Records the end of a task at its backend server.
     pub(crate) fn learn(
         &mut self,
         number: u64,
@@ -235,21 +239,21 @@
         run_ms: u64,
         peak: wire::Resources,
     ) {
-        let Some(flight) = self.in_flight.get(number) else {
+        let Some(pending) = self.in_flight.get(number) else {
             return;
         };
-        let (team, expected_ms) = (flight.team, flight.expected_ms);
+        let (team, expected_ms) = (pending.team, pending.expected_ms);
         self.drain.task_ended(expected_ms);
         self.queue.adjust_charge(team, expected_ms, run_ms.max(1));
-        // A task that failed or was stopped tells nothing of how long such tasks take:
-        // a server that fails everything at once would teach that all are short.
+        // Only complete tasks count: a backend server that fails every task at once would
+        // otherwise make the learned run times short.
         if code != codes::Code::Complete {
             return;
         }
-        let Some(open) = self.jobs.open_at(flight.task.submission) else {
+        let Some(open) = self.jobs.open_at(pending.task.submission) else {
             return;
         };
-        let Some(task) = open.task(flight.task.index) else {
+        let Some(task) = open.task(pending.task.index) else {
             return;
         };
         let sample = learning::Sample {
@@ -265,16 +269,18 @@
         let runners = candidates.iter().map(|one| self.members.runner(one.key));
         let slots = runners.flatten().map(|runner| runner.load.slots);
         self.slots = slots.fold(0, u32::saturating_add);
-        self.part = f64::from(self.slots) / (self.live_entries(now_ms).len() + 1) as f64;
-        let slots = self.usable_slots(&candidates, self.part);
+        self.fair_share = f64::from(self.slots) / (self.live_entries(now_ms).len() + 1) as f64;
+        let slots = self.usable_slots(&candidates, self.fair_share);
         self.drain.tick(now_ms, slots, !self.queue.is_empty());
-        let is_none = candidates.is_empty();
-        self.no_runner_since_ms = is_none.then(|| self.no_runner_since_ms.unwrap_or(now_ms));
+        let has_no_runner = candidates.is_empty();
+        self.no_runner_since_ms = has_no_runner.then(|| self.no_runner_since_ms.unwrap_or(now_ms));
     }
 
-    /// A submission that waits, nothing of it started, and can't meet its deadline any
-    /// more is told so now and not when the deadline is over.
-    pub(crate) fn end_hopeless(&mut self, now_ms: u64) -> Vec<core::Action> {
+    /// Gives up queued submissions that can no longer meet their deadline, without
+    /// waiting for the deadline to pass.
+    ///
+    /// Only submissions of which no task has been dispatched are given up.
+    pub(crate) fn end_infeasible(&mut self, now_ms: u64) -> Vec<core::Action> {
         let learned_ms = |team: &SmolStr, kind: &SmolStr, declared_ms| {
             let estimate = self
                 .learned
@@ -286,16 +292,16 @@
             .due()
             .near_deadline(now_ms, learned_ms)
             .into_iter();
-        let hopeless = nearing.filter(|key| self.is_hopeless(now_ms, *key));
-        let hopeless: Vec<_> = hopeless.collect();
+        let infeasible = nearing.filter(|key| self.is_infeasible(now_ms, *key));
+        let infeasible: Vec<_> = infeasible.collect();
         let code = codes::Code::DeadlineNotRun;
-        hopeless
+        infeasible
             .into_iter()
             .flat_map(|key| self.give_up(now_ms, key, code))
             .collect()
     }
 
-    fn is_hopeless(&self, now_ms: u64, key: jobs::Key) -> bool {
+    fn is_infeasible(&self, now_ms: u64, key: jobs::Key) -> bool {
         let Some(open) = self.jobs.open_at(key) else {
             return false;
         };
@@ -308,16 +314,16 @@
         let estimates = open.tasks.iter();
         let estimates = estimates.map(|task| self.estimate(&open.header.team, task));
         let longest = estimates.max_by_key(|estimate| estimate.run_ms);
-        let known = longest.filter(|longest| longest.is_learned);
-        admission::is_infeasible(left_ms, known.map(|known| known.run_ms))
+        let longest_learned = longest.filter(|longest| longest.is_learned);
+        admission::is_infeasible(left_ms, longest_learned.map(|slowest| slowest.run_ms))
     }
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a count of slots"
+    reason = "the number of slots is small and not negative"
 )]
-const fn slots_whole(slots: f64) -> u64 {
+const fn whole_slots(slots: f64) -> u64 {
     slots as u64
 }
--- a/src/entry/messages.rs
+++ b/src/entry/messages.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads tell an entry's control thread, and what they ask.
+//! Messages from the traffic threads to an entry's control thread.
 
 use smol_str::SmolStr;
 
@@ -8,71 +8,71 @@
 use crate::ids;
 use crate::wire;
 
-/// A caller's call, here or passed on by another entry.
+/// A call from a caller, received directly or from another entry.
 #[derive(Clone, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Resolution")]
 pub struct CallerCall {
-    /// Whose.
+    /// The calling team.
     pub team: SmolStr,
-    /// What.
+    /// The call.
     pub call: wire::Call,
 }
 
-/// What a call comes to.
+/// The result of a [`CallerCall`].
 #[derive(Debug)]
 pub enum Resolution {
-    /// This is the answer.
+    /// The answer to return to the caller.
     Answer(Box<api::Answer>),
-    /// The owner is another entry.
+    /// The call has to be sent to another entry.
     Forward {
-        /// The owner.
+        /// The entry that owns the submission.
         owner: wire::Peer,
-        /// What to say if it does not answer, and whether that is the last word.
+        /// Result code if the owner does not reply, and whether that code is final.
         if_silent: (codes::Code, bool),
-        /// The ticket to submit it under there, where it had no id.
+        /// Ticket of the owner to submit under, if the submission had no id.
         ticket: Option<ids::SubmissionId>,
     },
 }
 
-/// A ticket of this very entry is wanted.
+/// Requests a ticket that this entry issues itself.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "ids::SubmissionId")]
-pub struct WantOwnTicket;
+pub struct IssueOwnTicket;
 
-/// A caller wants tickets.
+/// Requests tickets for a caller.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Result<api::Tickets, codes::Code>")]
-pub struct WantTickets(pub api::TicketOrder);
+pub struct IssueTickets(pub api::TicketOrder);
 
-/// Another process says that it is there.
+/// A heartbeat received from another process.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "wire::HeartbeatReply")]
-pub struct Heard(pub wire::Heartbeat);
+pub struct PeerHeartbeat(pub wire::Heartbeat);
 
-/// A dispatch ended.
+/// Reports that a dispatch was answered or failed.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct DispatchDone {
-    /// Which.
+    /// The attempt.
     pub attempt: ids::Attempt,
-    /// How.
+    /// The reply, or why there is none.
     pub reply: Result<wire::DispatchReply, attempts::DispatchError>,
 }
 
-/// A question to a runner was answered.
+/// Reports the reply to a fence.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct FenceDone {
-    /// Where it was sent.
+    /// The runner's address.
     pub to: SmolStr,
-    /// The question.
+    /// The fence that was sent.
     pub fence: wire::Fence,
-    /// The answer.
+    /// The reply.
     pub reply: wire::FenceReply,
 }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,23 +1,23 @@
-//! The entry: the thin process that callers talk to.
+//! The entry: the process that callers connect to.
 
-mod asked;
 pub mod attempts;
 pub mod calls;
-mod claim_calls;
+mod claim_handlers;
 pub mod claiming;
+mod completion;
 pub mod control;
 pub mod core;
 mod dispatching;
-mod ending;
-pub mod flights;
 mod forwarding;
-mod hearing;
+mod health_reports;
 pub mod http;
-mod judging;
+pub mod inflight;
 pub mod load;
 pub mod messages;
-pub mod passing;
-pub mod pump;
-pub mod report;
+mod operator_queries;
+pub mod pass_on;
+pub mod scheduling;
+pub mod status;
 pub mod tick;
-mod waiting;
+mod updates;
+mod waiters;
--- a/src/entry/asked.rs
+++ b/src/entry/operator_queries.rs
@@ -1,4 +1,4 @@
-//! What operators and peers ask of an entry.
+//! Handlers of queries from operators and peers: audit, status, metrics and settings.
 
 use crate::control;
 use crate::entry;
--- a/src/entry/passing.rs
+++ b/src/entry/pass_on.rs
@@ -1,4 +1,4 @@
-//! How an entry passes new submissions on to the leading one.
+//! Passing new submissions on to the leading entry.
 
 use crate::api;
 use crate::codes;
@@ -9,8 +9,10 @@
 use crate::wire;
 
 impl core::Core {
-    /// The entry that decides while slots are scarce, by what was heard; it may be this
-    /// one. None: this one sees no slots at all.
+    /// Returns the entry that places all new submissions while slots are scarce, as this
+    /// entry sees it; it may be this entry itself.
+    ///
+    /// Returns `None` if this entry knows of no slots.
     pub fn leader(&self, now_ms: u64) -> Option<&wire::Peer> {
         let own = (!self.is_leaving).then_some(leading::Candidate {
             peer: &self.me,
@@ -18,10 +20,10 @@
             slots: self.slots,
         });
         let silent_after_ms = self.silent_after_ms();
-        let is_heard = move |entry: &&membership::Entry| {
+        let is_reachable = move |entry: &&membership::Entry| {
             !entry.is_leaving && entry.last_seen_ms.saturating_add(silent_after_ms) > now_ms
         };
-        let others = self.members.entries().filter(is_heard);
+        let others = self.members.entries().filter(is_reachable);
         let others = others.map(|entry| leading::Candidate {
             peer: &entry.peer,
             is_zone_out: self.settings.is_zone_out(&entry.peer.zone),
@@ -30,10 +32,10 @@
         leading::leader(own.into_iter().chain(others), self.slots)
     }
 
-    /// The leading entry, where it is another and submissions are passed on at all.
-    pub(crate) fn leader_to_pass_to(&self, now_ms: u64) -> Option<wire::Peer> {
-        let is_on = self.settings.policy.pass_on_below > 0.0 && !self.is_leaving;
-        self.other_leader(now_ms).filter(|_| is_on)
+    /// Returns the leading entry if it is another one and passing on is enabled.
+    pub(crate) fn pass_on_target(&self, now_ms: u64) -> Option<wire::Peer> {
+        let is_enabled = self.settings.policy.pass_on_below > 0.0 && !self.is_leaving;
+        self.other_leader(now_ms).filter(|_| is_enabled)
     }
 
     fn other_leader(&self, now_ms: u64) -> Option<wire::Peer> {
@@ -41,18 +43,19 @@
         (leader.incarnation != self.me.incarnation).then(|| leader.clone())
     }
 
-    /// Whom to pass a new submission on to, and under which ticket.
+    /// Returns the entry to pass a new submission on to and the ticket to use there.
     ///
-    /// While many slots are free it stays here, which saves the way.
+    /// Returns `None` while enough slots are free: the submission is then placed here,
+    /// which saves the extra hop.
     pub(crate) fn pass_on(
         &mut self,
         now_ms: u64,
         tasks: usize,
     ) -> Option<(wire::Peer, ids::SubmissionId)> {
-        let leader = self.leader_to_pass_to(now_ms)?;
-        let least_free = self.settings.policy.pass_on_below;
+        let leader = self.pass_on_target(now_ms)?;
+        let min_free_fraction = self.settings.policy.pass_on_below;
         let free = self.free_slots(now_ms);
-        if !leading::is_scarce(free, tasks, self.slots, least_free) {
+        if !leading::is_scarce(free, tasks, self.slots, min_free_fraction) {
             return None;
         }
         let ticket = self.stock.take(now_ms, &leader)?;
@@ -60,9 +63,11 @@
         Some((leader, ticket))
     }
 
-    /// A ticket for a caller that submits later, to whichever entry: of the leading
-    /// one, where there is one in stock, since most slots may be taken by then.
-    pub(crate) fn ticket_ahead(
+    /// Returns a ticket for a caller that submits later, possibly to another entry.
+    ///
+    /// A ticket of the leading entry is preferred if one is in stock, since slots may be
+    /// scarce by then.
+    pub(crate) fn advance_ticket(
         &mut self,
         now_ms: u64,
         leader: Option<&wire::Peer>,
@@ -71,21 +76,21 @@
         ticket.unwrap_or_else(|| self.ticket())
     }
 
-    /// Slots thought to be free, less what waits here.
+    /// Returns the number of slots assumed free minus the number of tasks queued here.
     fn free_slots(&self, now_ms: u64) -> i64 {
         let usable = self.usable(now_ms);
         let free: i64 = usable.map(|(_, runner)| runner.free_slots().max(0)).sum();
         free.saturating_sub(i64::try_from(self.queue.len()).unwrap_or(i64::MAX))
     }
 
-    /// How many tickets to ask that entry for.
+    /// Returns the number of tickets to request from this peer.
     pub(crate) fn tickets_wanted(&mut self, now_ms: u64, peer: ids::Incarnation) -> u32 {
         let leader = self.other_leader(now_ms);
         let leader = leader.filter(|leader| leader.incarnation == peer);
         leader.map_or(0, |leader| self.stock.shortfall(now_ms, &leader))
     }
 
-    /// Sets tickets apart for another entry.
+    /// Reserves a range of tickets for another entry.
     pub(crate) fn grant_tickets(&mut self, wanted: u32) -> Option<wire::TicketRange> {
         let count = wanted.min(leading::MAX_TICKETS_PER_GRANT);
         if count == 0 || self.is_leaving {
@@ -101,23 +106,23 @@
     }
 }
 
-/// What came of passing a submission on.
+/// The result of passing a submission on.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Passed {
-    /// The other entry says this of it.
+pub enum Outcome {
+    /// The answer of the other entry.
     Answer(Box<api::Answer>),
-    /// It did not take it in and never will.
+    /// The other entry did not accept the submission and never will.
     Declined,
-    /// Nothing is known.
+    /// It is unknown whether the other entry accepted the submission.
     Unknown,
 }
 
-/// What the answer to the first copy of a submission that was passed on comes to.
+/// Interprets the answer to the first copy of a submission that was passed on.
 ///
-/// Nothing was sent before this answer: whatever but a refusal for load or a submission
-/// taken in means that the other entry could do nothing with it.
-pub fn first_word(answer: api::Answer) -> Passed {
-    let is_of_no_use = matches!(
+/// No other copy exists at this point. Any answer other than a refusal for load or an
+/// acceptance therefore means that the other entry could not process the submission.
+pub fn first_copy_outcome(answer: api::Answer) -> Outcome {
+    let is_unusable = matches!(
         answer.code,
         codes::Code::BadToken
             | codes::Code::BadTicket
@@ -125,26 +130,26 @@
             | codes::Code::OwnerGone
             | codes::Code::NotFresh
     );
-    if is_of_no_use {
-        return Passed::Declined;
+    if is_unusable {
+        return Outcome::Declined;
     }
-    second_word(answer)
+    second_copy_outcome(answer)
 }
 
-/// What the answer to a second copy comes to, when nothing was heard of the first.
+/// Interprets the answer to a second copy, sent because the first got no reply.
 ///
-/// What was sent before may have been taken in, by a life that is over for one, or may
-/// arrive yet. Only a refusal that the life which minted the ticket remembers says that it
-/// never starts; 111, by a process that has no settings yet, is not remembered, and the
-/// first copy would start when they have come. An entry that has no room to remember more
-/// submissions declines too: its slots may be free.
-pub fn second_word(answer: api::Answer) -> Passed {
+/// The first copy may have been accepted, for example by an incarnation that has ended
+/// since, or may still arrive. Only a refusal that the issuer of the ticket remembers
+/// guarantees that the submission never starts there. Code 111, from a process without
+/// settings, is not remembered: the first copy would start once the settings arrive. An
+/// entry that remembers too many submissions also declines, although its slots may be free.
+pub fn second_copy_outcome(answer: api::Answer) -> Outcome {
     let is_declined = matches!(
         answer.code,
         codes::Code::Leaving | codes::Code::NoCapacity | codes::Code::EntryQueueFull
     );
     if is_declined && answer.is_final {
-        return Passed::Declined;
+        return Outcome::Declined;
     }
-    Passed::Answer(Box::new(answer))
+    Outcome::Answer(Box::new(answer))
 }
--- a/src/entry/pump.rs
+++ b/src/entry/scheduling.rs
@@ -1,4 +1,4 @@
-//! Handing out what waits.
+//! Scheduling of queued tasks on runners.
 
 use rand::RngCore as _;
 
@@ -12,30 +12,31 @@
 use crate::ramp;
 use crate::wire;
 
-/// How many tasks that can't be placed now one round looks past.
-const MAX_PASSED_OVER: usize = 16;
+/// Maximum number of tasks per round that are skipped because they cannot be placed now.
+const MAX_SKIPPED: usize = 16;
 
-/// A task has time to spare for a first probe if it would start in time even so many
-/// times its expected run time later: a server four times slower then harms no job.
+/// Slack that a task needs to serve as a first probe, in multiples of its expected run time.
+///
+/// With this slack a backend server that is four times slower delays no job.
 const PROBE_FACTOR: u64 = 3;
 
 impl core::Core {
-    /// Hands out waiting tasks while there is somewhere to send them.
-    pub(crate) fn pump(&mut self, now_ms: u64) -> Vec<core::Action> {
+    /// Dispatches queued tasks while runners can take them.
+    pub(crate) fn dispatch_queued(&mut self, now_ms: u64) -> Vec<core::Action> {
         let mut actions = Vec::new();
         if self.queue.is_empty() {
             return actions;
         }
-        let mut view = View {
+        let mut round = Round {
             pool: placement::Pool::new(self.candidates(now_ms)),
             spread: placement::RackSpread::default(),
         };
-        let mut passed_over = Vec::new();
-        while passed_over.len() < MAX_PASSED_OVER {
+        let mut skipped = Vec::new();
+        while skipped.len() < MAX_SKIPPED {
             let Some(item) = self.queue.pop() else {
                 break;
             };
-            match self.place(now_ms, &item, &mut view) {
+            match self.place(now_ms, &item, &mut round) {
                 Placed::Sent(action) => {
                     self.queue.started(&item);
                     actions.push(action);
@@ -44,35 +45,35 @@
                     self.queue.refund(&item);
                     actions.extend(more);
                 }
-                Placed::Waits => passed_over.push(item),
+                Placed::Skipped => skipped.push(item),
             }
-            if !passed_over.is_empty() && view.pool.is_full(&self.placement_policy()) {
+            if !skipped.is_empty() && round.pool.is_full(&self.placement_policy()) {
                 break;
             }
         }
-        for item in passed_over.into_iter().rev() {
+        for item in skipped.into_iter().rev() {
             self.queue.put_back(item);
         }
         actions
     }
 
-    fn place(&mut self, now_ms: u64, item: &queue::Item, view: &mut View) -> Placed {
+    fn place(&mut self, now_ms: u64, item: &queue::Item, round: &mut Round) -> Placed {
         let Some(need) = self.need(item.task) else {
             return Placed::Ended(Vec::new());
         };
-        self.count_spread(item.task.submission, &mut view.spread);
+        self.count_spread(item.task.submission, &mut round.spread);
         let draw = self.rng.next_u64();
         let policy = self.placement_policy();
         let spare_ms = item.rank_ms.saturating_sub(now_ms);
-        view.pool.has_slack = spare_ms >= item.expected_ms * PROBE_FACTOR;
-        let choice = view.pool.choose(&need, &view.spread, &policy, draw);
+        round.pool.has_slack = spare_ms >= item.expected_ms * PROBE_FACTOR;
+        let choice = round.pool.choose(&need, &round.spread, &policy, draw);
         match choice {
-            placement::Choice::Send(at) => self.send_to(now_ms, item, need, view, at),
-            placement::Choice::NeverFits if !self.fits_any(&need) => {
+            placement::Choice::Send(at) => self.send_to(now_ms, item, need, round, at),
+            placement::Choice::NeverFits if !self.fits_any_known(&need) => {
                 let decided = jobs::Decided::not_run(codes::Code::NeverFits);
                 Placed::Ended(self.decide(now_ms, item.task, decided))
             }
-            _ => Placed::Waits,
+            _ => Placed::Skipped,
         }
     }
 
@@ -81,28 +82,30 @@
         now_ms: u64,
         item: &queue::Item,
         need: wire::Resources,
-        view: &mut View,
+        round: &mut Round,
         at: usize,
     ) -> Placed {
-        let Some(candidate) = view.pool.candidate_at(at).copied() else {
-            return Placed::Waits;
+        let Some(candidate) = round.pool.candidate_at(at).copied() else {
+            return Placed::Skipped;
         };
         let Some(action) = self.send(now_ms, item, candidate.key, need) else {
-            return Placed::Waits;
+            return Placed::Skipped;
         };
-        view.pool.sent(at, &need);
-        view.spread.add(candidate.rack);
+        round.pool.sent(at, &need);
+        round.spread.add(candidate.rack);
         Placed::Sent(action)
     }
 
-    /// Whether a worker that is out at the moment is large enough: the task then
-    /// waits, since "no worker is large enough" would not be true.
-    fn fits_any(&self, need: &wire::Resources) -> bool {
+    /// Returns whether any known worker is large enough, in service or not.
+    ///
+    /// The task then waits: "no worker is large enough" would be wrong while such a worker
+    /// is only out of service.
+    fn fits_any_known(&self, need: &wire::Resources) -> bool {
         let mut known = self.members.runners();
         known.any(|(_, runner)| need.fits_in(&runner.load.size))
     }
 
-    /// Counts where the tasks of a submission are, unless they are counted already.
+    /// Counts the dispatched tasks of a submission by rack, unless already counted.
     fn count_spread(&self, submission: jobs::Key, spread: &mut placement::RackSpread) {
         if spread.is_of(submission) {
             return;
@@ -115,8 +118,8 @@
             let jobs::Progress::Dispatched(attempt) = progress else {
                 continue;
             };
-            let flight = self.in_flight.get(attempt.number);
-            let runner = flight.and_then(|flight| self.members.runner(flight.runner));
+            let pending = self.in_flight.get(attempt.number);
+            let runner = pending.and_then(|pending| self.members.runner(pending.runner));
             if let Some(runner) = runner {
                 spread.add(runner.rack);
             }
@@ -129,7 +132,7 @@
         Some(self.need_of(&open.header.team, declared))
     }
 
-    /// Runners that may be sent something now.
+    /// Returns the runners that can be sent tasks now.
     pub(crate) fn candidates(&self, now_ms: u64) -> Vec<placement::Candidate> {
         let usable = self.usable(now_ms);
         usable
@@ -137,17 +140,17 @@
             .collect()
     }
 
-    /// Runners in service that were heard of lately.
+    /// Returns the runners in service that were last seen recently.
     ///
-    /// A runner that misses two heartbeats gets nothing new long before it counts as
-    /// dead: what is sent to a frozen one is lost, and nobody may start it again.
+    /// A runner that misses two heartbeats gets no new tasks, long before it counts as
+    /// dead: a task sent to a suspended runner is lost and must not be started again.
     pub(crate) fn usable(
         &self,
         now_ms: u64,
     ) -> impl Iterator<Item = (membership::RunnerKey, &membership::Runner)> {
         let silent_after = self.silent_after_ms();
-        // Looked up once and not for each runner: of thousands of runners most are in
-        // the same few zones, and mostly none is out.
+        // Looked up once and not per runner: thousands of runners share a few zones, and
+        // usually no zone is out.
         let zones_out = self.settings.zones_out();
         self.members.runners().filter(move |(_, runner)| {
             !runner.is_leaving
@@ -157,11 +160,13 @@
         })
     }
 
-    /// Silence of two heartbeats, long before a process counts as dead.
+    /// Returns the time without a heartbeat after which a process counts as silent.
+    ///
+    /// It spans two missed heartbeats and ends long before the process counts as dead.
     pub(crate) fn silent_after_ms(&self) -> u64 {
         let timeouts = &self.settings.timeouts;
-        let two_missed = u64::from(timeouts.heartbeat_ms) * 5 / 2;
-        two_missed.min(timeouts.dead_after_ms.into())
+        let two_missed_ms = u64::from(timeouts.heartbeat_ms) * 5 / 2;
+        two_missed_ms.min(timeouts.dead_after_ms.into())
     }
 
     fn candidate(
@@ -171,17 +176,18 @@
         runner: &membership::Runner,
     ) -> Option<placement::Candidate> {
         let allowance = self.health.allowance(now_ms, key);
-        // An ejected runner is none at all. One that has no room at the moment stays in
-        // the list: left out, the last one in service would look like none being there,
-        // and submissions would be refused for want of capacity.
+        // An ejected runner is no candidate. A runner without free capacity stays in the
+        // list: if it were the last one in service, an empty list would mean that no
+        // runner exists, and submissions would be refused for lack of capacity.
         if allowance.max_tasks == Some(0) {
             return None;
         }
-        // Where a probe is due the warnings of others, who wait for theirs, do not count.
+        // Warnings of other entries are ignored while this entry probes the runner, since
+        // those entries wait for the outcome of their own probes.
         let is_probed = allowance.max_tasks.is_some();
         let is_warned = !is_probed && self.warnings.is_reported(runner.peer.incarnation);
         let free_slots = runner.free_slots();
-        let ramp = self.ramp_room(now_ms, runner, free_slots);
+        let ramp = self.ramp_capacity(now_ms, runner, free_slots);
         let probe = allowance
             .max_tasks
             .map(|most| most.saturating_sub(runner.in_flight));
@@ -205,8 +211,14 @@
         })
     }
 
-    /// How many more tasks a runner in a returning zone may be sent.
-    fn ramp_room(&self, now_ms: u64, runner: &membership::Runner, free_slots: i64) -> Option<u32> {
+    /// Returns how many more tasks a runner in a returning zone can be sent, or `None` if
+    /// the ramp does not limit it.
+    fn ramp_capacity(
+        &self,
+        now_ms: u64,
+        runner: &membership::Runner,
+        free_slots: i64,
+    ) -> Option<u32> {
         let slots = runner.load.slots;
         let zone = &runner.peer.zone;
         let ramp_ms = self.settings.policy.ramp_ms;
@@ -231,7 +243,7 @@
         let open = self.jobs.open_mut(item.task.submission)?;
         let task = open.task(item.task.index)?.clone();
         let runner = self.members.runner_mut(key)?;
-        let had_slot = runner.free_slots() > 0;
+        let had_free_slot = runner.free_slots() > 0;
         open.dispatched(item.task.index, attempt);
         runner.add_in_flight(&need);
         let timeouts = &self.settings.timeouts;
@@ -253,7 +265,7 @@
             index: item.task.index,
         };
         let address = runner.peer.address.clone();
-        let expected = item.expected_ms + u64::from(timeouts.query_after_ms);
+        let query_delay_ms = item.expected_ms + u64::from(timeouts.query_after_ms);
         let kind = self.health.intern_kind(&dispatch.team, &dispatch.kind);
         let in_flight = core::InFlight {
             task: item.task,
@@ -265,9 +277,9 @@
             expected_ms: item.expected_ms,
             rank_ms: item.rank_ms,
             sent_ms: now_ms,
-            had_slot,
-            ask_ms: now_ms.saturating_add(expected),
-            is_lost: false,
+            had_free_slot,
+            query_at_ms: now_ms.saturating_add(query_delay_ms),
+            is_reply_lost: false,
             is_stopping: false,
         };
         self.in_flight.insert(attempt.number, in_flight);
@@ -279,8 +291,8 @@
     }
 }
 
-/// What one round of handing out sees.
-struct View {
+/// State of one scheduling round.
+struct Round {
     pool: placement::Pool,
     spread: placement::RackSpread,
 }
@@ -288,5 +300,5 @@
 enum Placed {
     Sent(core::Action),
     Ended(Vec<core::Action>),
-    Waits,
+    Skipped,
 }
--- a/src/entry/report.rs
+++ b/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an entry tells operators of itself.
+//! Status and metrics of an entry, and the runners that it queries for evidence.
 
 use std::collections;
 
@@ -11,7 +11,7 @@
 use crate::metrics;
 
 impl core::Core {
-    /// The answer to `GET /status`.
+    /// Returns the body of `GET /status`.
     pub fn status(&self, now_ms: u64) -> api::Status {
         let fresh_ms = self.settings.timeouts.fresh_ms.into();
         api::Status {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The metrics as they stand.
+    /// Returns the current metrics.
     pub fn samples(&self, now_ms: u64) -> Vec<metrics::Sample> {
         let counts = self.counts;
         let fresh_ms = self.settings.timeouts.fresh_ms.into();
@@ -110,11 +110,11 @@
         ]
     }
 
-    /// One live runner of each other availability zone, to be asked for evidence.
+    /// Returns one live runner of each other availability zone, to be queried for evidence.
     ///
-    /// Only an answer to an own question counts as evidence, see
-    /// [`crate::freshness`]. Where all entries stand in one zone, or the others are
-    /// down, the runners of other zones are the only ones to ask.
+    /// Only a reply to an own request counts as evidence, see [`crate::freshness`]. If all
+    /// entries run in one zone, or the other entries are down, the runners are the only
+    /// processes of other zones that can be queried.
     pub fn foreign_runners(&self, now_ms: u64) -> Vec<contacts::Target> {
         let dead_after = u64::from(self.settings.timeouts.dead_after_ms);
         let mut by_zone = collections::BTreeMap::new();
@@ -184,21 +184,21 @@
         key: membership::RunnerKey,
         runner: &membership::Runner,
     ) -> SmolStr {
-        let heard = self.state(now_ms, runner.last_seen_ms, runner.is_leaving);
+        let liveness = self.state(now_ms, runner.last_seen_ms, runner.is_leaving);
         match self.health.state(key).label(now_ms) {
-            Some(word) if heard == "alive" => SmolStr::new_static(word),
-            _ => heard,
+            Some(label) if liveness == "alive" => SmolStr::new_static(label),
+            _ => liveness,
         }
     }
 
     fn state(&self, now_ms: u64, heard_ms: u64, is_leaving: bool) -> SmolStr {
         let dead_after = u64::from(self.settings.timeouts.dead_after_ms);
         let is_silent = heard_ms.saturating_add(dead_after) <= now_ms;
-        let word = match (is_leaving, is_silent) {
+        let label = match (is_leaving, is_silent) {
             (true, _) => "leaving",
             (false, true) => "silent",
             (false, false) => "alive",
         };
-        SmolStr::new_static(word)
+        SmolStr::new_static(label)
     }
 }
--- a/src/entry/hearing.rs
+++ b/src/entry/updates.rs
@@ -1,4 +1,4 @@
-//! What an entry hears: from other processes, and from the log.
+//! Heartbeats, announcements and settings: exchange with other processes and the log.
 
 use std::sync;
 use std::time;
@@ -19,14 +19,14 @@
         let revision = state.revision();
         let now_ms = self.now_ms();
         let actions = self.core.set_settings(now_ms, settings, revision);
-        self.act(cx, actions);
+        self.execute(cx, actions);
         self.publish();
     }
 
-    /// Shows the settings to the traffic threads, once there are any.
+    /// Publishes the settings to the traffic threads once they are backed by evidence.
     ///
-    /// An entry that started while the log was down has defaults only, which know no
-    /// team and no zone that is out; until it has heard better, calls are refused.
+    /// An entry that started while the log was down has only the defaults, which list
+    /// neither teams nor zones that are out; calls are refused until settings arrive.
     pub(super) fn publish(&mut self) {
         if !self.core.freshness().has_heard() {
             return;
@@ -38,9 +38,11 @@
         }
     }
 
-    /// After the first evidence, and before anybody is told that there are settings:
-    /// a caller who was told must not be refused for want of them.
-    pub(super) fn publish_first(&mut self) {
+    /// Publishes the settings on the first evidence.
+    ///
+    /// This happens before this process reports that it has settings, so that a caller
+    /// that has seen the report is not refused for the lack of them.
+    pub(super) fn publish_if_unpublished(&mut self) {
         if !self.is_published {
             self.publish();
         }
@@ -53,9 +55,10 @@
         }
     }
 
-    /// Without a live contact the next announcement is not waited for: the log may
-    /// have been down at the one before.
-    pub(super) fn announce_if_alone(&mut self, cx: &actix::Context<Self>) {
+    /// Announces this entry ahead of schedule while it has no live contact.
+    ///
+    /// The log may have been down at the previous announcement.
+    pub(super) fn announce_if_isolated(&mut self, cx: &actix::Context<Self>) {
         let now_ms = self.now_ms();
         let dead_after_ms = self.core.settings().timeouts.dead_after_ms;
         let since_ms = now_ms.saturating_sub(dead_after_ms.into());
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Says on the log that this entry is there and reads who else is.
+    /// Appends an announcement of this entry to the log and reads those of the others.
     pub(super) fn announce(&self, cx: &actix::Context<Self>) {
         if self.core.is_leaving() {
             return;
@@ -96,24 +99,24 @@
         }
     }
 
-    pub(super) fn keep_sending_heartbeats(&mut self, cx: &mut actix::Context<Self>) {
+    pub(super) fn schedule_heartbeats(&mut self, cx: &mut actix::Context<Self>) {
         self.send_heartbeats(cx);
         let pause_ms = self.core.settings().timeouts.heartbeat_ms;
         let pause = time::Duration::from_millis(pause_ms.into());
-        cx.run_later(pause, Self::keep_sending_heartbeats);
+        cx.run_later(pause, Self::schedule_heartbeats);
     }
 }
 
-impl actix::Handler<messages::Heard> for control::Control {
-    type Result = actix::MessageResult<messages::Heard>;
+impl actix::Handler<messages::PeerHeartbeat> for control::Control {
+    type Result = actix::MessageResult<messages::PeerHeartbeat>;
 
-    fn handle(&mut self, message: messages::Heard, cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: messages::PeerHeartbeat, cx: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
         if message.0.sender.role == wire::Role::Entry {
             self.contacts.add_peer(now_ms, &message.0.sender);
         }
         let (reply, actions) = self.core.heartbeat(now_ms, &message.0);
-        self.act(cx, actions);
+        self.execute(cx, actions);
         actix::MessageResult(reply)
     }
 }
@@ -132,7 +135,7 @@
         let is_behind = self
             .core
             .heartbeat_answered(now_ms, message.asked_ms, &reply);
-        self.publish_first();
+        self.publish_if_unpublished();
         if is_behind || self.keeper.is_lacking() {
             let position = self.keeper.state().position();
             let done = cx.address().recipient();
@@ -168,7 +171,7 @@
             if taken.is_changed {
                 self.settings_changed(cx);
             }
-            self.publish_first();
+            self.publish_if_unpublished();
             self.write_checkpoint_if_due();
         }
         self.keeper.read_from()
--- a/src/entry/waiting.rs
+++ b/src/entry/waiters.rs
@@ -1,4 +1,4 @@
-//! Callers that wait at an entry for their answers.
+//! Calls that wait at an entry for their answers.
 
 use std::time;
 
@@ -8,17 +8,20 @@
 use crate::api;
 use crate::codes;
 use crate::entry::calls;
-use crate::entry::claim_calls;
+use crate::entry::claim_handlers;
 use crate::entry::control;
 use crate::entry::messages;
 use crate::jobs;
 use crate::wire;
 
-/// Calls that may wait for one submission's answer; one more is answered at once
-/// with what there is, as if its wait were over.
+/// Maximum number of calls that wait for the answer of one submission.
+///
+/// A further call gets the current state at once, as if its wait had ended.
 const MAX_WAITERS: usize = 64;
 
-/// A cancelled submission ends within the time that a question to a runner takes.
+/// Maximum wait of a cancel call, in milliseconds.
+///
+/// A cancelled submission ends within the time of a query to a runner.
 const CANCEL_WAIT_MS: u64 = 1_000;
 
 impl control::Control {
@@ -32,7 +35,7 @@
         log::info!(event = "submission.ended", submission = id.as_str(), code = code; "{}", answer.text);
         for waiter in self.waiters.remove(&key).unwrap_or_default() {
             if waiter.send(Box::new(answer.clone())).is_err() {
-                log::debug!(event = "answer.unheard", submission = id.as_str(); "caller gone");
+                log::debug!(event = "answer.unheard", submission = id.as_str(); "answer not delivered: the call no longer waits");
             }
         }
     }
@@ -59,14 +62,14 @@
         let (tx, rx) = oneshot::channel();
         waiters.push(tx);
         let control = cx.address();
-        let longest = u64::from(self.core.settings().limits.max_wait_ms);
-        let limit = time::Duration::from_millis(wait_ms.min(longest));
+        let max_ms = u64::from(self.core.settings().limits.max_wait_ms);
+        let limit = time::Duration::from_millis(wait_ms.min(max_ms));
         Box::pin(async move {
             if let Ok(Ok(answer)) = tokio::time::timeout(limit, rx).await {
                 return messages::Resolution::Answer(answer);
             }
-            let now = control.send(WantPending(key)).await.ok().flatten();
-            messages::Resolution::Answer(Box::new(now.unwrap_or(pending)))
+            let current = control.send(GetPending(key)).await.ok().flatten();
+            messages::Resolution::Answer(Box::new(current.unwrap_or(pending)))
         })
     }
 }
@@ -77,13 +80,13 @@
 
 #[derive(actix::Message)]
 #[rtype(result = "Option<api::Answer>")]
-struct WantPending(jobs::Key);
+struct GetPending(jobs::Key);
 
 impl actix::Handler<messages::CallerCall> for control::Control {
     type Result = actix::ResponseFuture<messages::Resolution>;
 
     fn handle(&mut self, message: messages::CallerCall, cx: &mut Self::Context) -> Self::Result {
-        let again = claim_calls::needs_claim(&message.call).then(|| message.clone());
+        let retry = claim_handlers::needs_claim(&message.call).then(|| message.clone());
         let messages::CallerCall { team, call } = message;
         let now_ms = self.now_ms();
         let (wait_ms, (reply, actions)) = match call {
@@ -102,7 +105,7 @@
                 (CANCEL_WAIT_MS, self.core.cancel(now_ms, &team, &submission))
             }
         };
-        self.act(cx, actions);
+        self.execute(cx, actions);
         match reply {
             calls::Reply::Answer(answer) => ready(*answer),
             calls::Reply::Forward {
@@ -117,8 +120,8 @@
                 };
                 Box::pin(async move { forward })
             }
-            calls::Reply::Claiming(name) => match again {
-                Some(again) => self.call_again(cx, name, again),
+            calls::Reply::Claiming(name) => match retry {
+                Some(retry) => self.call_after_claim(cx, name, retry),
                 None => ready(jobs::answer::bare(None, codes::Code::BadTicket, true)),
             },
             calls::Reply::Open(key) => self.wait(cx, key, wait_ms),
@@ -126,10 +129,10 @@
     }
 }
 
-impl actix::Handler<WantPending> for control::Control {
+impl actix::Handler<GetPending> for control::Control {
     type Result = Option<api::Answer>;
 
-    fn handle(&mut self, message: WantPending, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: GetPending, _cx: &mut Self::Context) -> Self::Result {
         let waiters = self.waiters.get_mut(&message.0);
         if let Some(waiters) = waiters {
             waiters.retain(|waiter| !waiter.is_closed());
@@ -138,10 +141,10 @@
     }
 }
 
-impl actix::Handler<messages::WantTickets> for control::Control {
+impl actix::Handler<messages::IssueTickets> for control::Control {
     type Result = Result<api::Tickets, codes::Code>;
 
-    fn handle(&mut self, message: messages::WantTickets, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: messages::IssueTickets, _cx: &mut Self::Context) -> Self::Result {
         if self.core.is_leaving() {
             return Err(codes::Code::Leaving);
         }
@@ -149,10 +152,10 @@
     }
 }
 
-impl actix::Handler<messages::WantOwnTicket> for control::Control {
-    type Result = actix::MessageResult<messages::WantOwnTicket>;
+impl actix::Handler<messages::IssueOwnTicket> for control::Control {
+    type Result = actix::MessageResult<messages::IssueOwnTicket>;
 
-    fn handle(&mut self, _: messages::WantOwnTicket, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _: messages::IssueOwnTicket, _cx: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.core.ticket())
     }
 }
--- a/tests/unit/dispatching.rs
+++ b/tests/unit/dispatching.rs
@@ -1,7 +1,9 @@
-//! Entries and two runners in a network that loses, repeats, delays and re-orders.
+//! Simulation of entries and two runners in a network that loses, repeats, delays and
+//! reorders messages.
 //!
-//! A dispatch goes over one connection, once: a second copy of it never reaches another
-//! life of its runner than the first. All of it in one thread and in a clock of its own; every schedule follows from a seed.
+//! A dispatch is sent once, over one connection: a second copy of it never reaches another
+//! incarnation of its runner than the first. The simulation runs in one thread with a
+//! virtual clock, and every schedule is determined by a seed.
 
 mod callers;
 mod world;
@@ -9,76 +11,87 @@
 use bulrushtiller::codes;
 use rstest::rstest;
 
-// Messages between an entry and its runners are lost, come twice, late and out of order,
-// processes stand still and runners are replaced, all at random. What a user would see if
-// this went wrong: a task that starts twice, or one answered as not run that did run.
+// Messages between an entry and its runners are lost, repeated, delayed and reordered,
+// processes are suspended and runners are replaced, all at random. Guards against tasks that
+// start twice and against tasks that ran but are answered as not run.
 #[rstest]
-#[case::loss(world::Trouble { lost: 15, repeated: 0, late: 0, frozen: 0, replaced: 0 })]
-#[case::repeats_and_delays(world::Trouble { lost: 0, repeated: 20, late: 20, frozen: 0, replaced: 0 })]
-#[case::pauses(world::Trouble { lost: 5, repeated: 5, late: 5, frozen: 4, replaced: 0 })]
-#[case::all(world::Trouble { lost: 10, repeated: 10, late: 10, frozen: 3, replaced: 3 })]
-fn tasks_start_once_and_answers_are_true(#[case] trouble: world::Trouble) {
+#[case::loss(world::Faults { lost: 15, repeated: 0, delayed: 0, suspended: 0, replaced: 0 })]
+#[case::repeats_and_delays(world::Faults { lost: 0, repeated: 20, delayed: 20, suspended: 0, replaced: 0 })]
+#[case::suspensions(world::Faults { lost: 5, repeated: 5, delayed: 5, suspended: 4, replaced: 0 })]
+#[case::all(world::Faults { lost: 10, repeated: 10, delayed: 10, suspended: 3, replaced: 3 })]
+fn tasks_start_once_and_answers_match_outcomes(#[case] faults: world::Faults) {
     let mut submitted = 0;
     for seed in 0..100 {
-        let world = world::World::new(seed, trouble);
+        let world = world::World::new(seed, faults);
 
         let world = world.run();
 
         world.check();
-        submitted += world.taken_in();
+        submitted += world.count_accepted();
     }
-    assert!(submitted > 2_000, "too little happened: {submitted}");
+    assert!(
+        submitted > 2_000,
+        "expected more accepted submissions, got {submitted}"
+    );
 }
 
-// Two entries, of which the one that lives longer decides for both: what comes to the other
-// is passed on. The messages between them are lost, late and answered late, either stands
-// still or is replaced. Callers come with and without a ticket and ask again at whichever.
-// What a user would see if this went wrong: a task that starts at both entries, one answered
-// as not run that did run, or a caller who is never told.
+// Of two entries one leads, and the other passes its submissions on to it. Messages between
+// them are lost and delayed, and either is suspended or replaced. Callers come with and
+// without a ticket and repeat calls at any entry. Guards against tasks that start at both
+// entries, tasks that ran but are answered as not run, and callers that get no answer.
 #[rstest]
-#[case::loss(world::Trouble { lost: 15, repeated: 0, late: 0, frozen: 0, replaced: 0 })]
-#[case::repeats_and_delays(world::Trouble { lost: 0, repeated: 20, late: 20, frozen: 0, replaced: 0 })]
-#[case::pauses(world::Trouble { lost: 5, repeated: 5, late: 5, frozen: 4, replaced: 0 })]
-#[case::all(world::Trouble { lost: 10, repeated: 10, late: 10, frozen: 3, replaced: 3 })]
-fn tasks_start_once_though_one_entry_passes_on_to_another(#[case] trouble: world::Trouble) {
-    let (mut submitted, mut passed_on) = (0, 0);
+#[case::loss(world::Faults { lost: 15, repeated: 0, delayed: 0, suspended: 0, replaced: 0 })]
+#[case::repeats_and_delays(world::Faults { lost: 0, repeated: 20, delayed: 20, suspended: 0, replaced: 0 })]
+#[case::suspensions(world::Faults { lost: 5, repeated: 5, delayed: 5, suspended: 4, replaced: 0 })]
+#[case::all(world::Faults { lost: 10, repeated: 10, delayed: 10, suspended: 3, replaced: 3 })]
+fn tasks_start_once_when_submissions_are_passed_on(#[case] faults: world::Faults) {
+    let (mut submitted, mut forward_count) = (0, 0);
     for seed in 0..50 {
-        let world = world::World::with_entries(2, seed, trouble);
+        let world = world::World::with_entries(2, seed, faults);
 
         let world = world.run();
 
         world.check();
-        submitted += world.taken_in();
-        passed_on += world.passed_on;
+        submitted += world.count_accepted();
+        forward_count += world.forward_count;
     }
-    assert!(submitted > 1_000, "too little happened: {submitted}");
-    assert!(passed_on > 500, "too little was passed on: {passed_on}");
+    assert!(
+        submitted > 1_000,
+        "expected more accepted submissions, got {submitted}"
+    );
+    assert!(
+        forward_count > 500,
+        "expected more forwarded calls, got {forward_count}"
+    );
 }
 
-// An entry stands still with a task waiting, whose deadline passes meanwhile. What thaws it
-// is a runner's heartbeat, before its own clock has ticked. The caller gave up long ago: the
-// task must not be handed to the runner on the strength of what the entry still holds.
+// An entry is suspended while the deadline of a queued task passes. The first event after it
+// resumes is a runner's heartbeat, before its own tick. The task must not be dispatched on
+// the stale state.
 #[test]
-fn pause_is_noticed_before_the_message_that_ends_it_is_acted_upon() {
+fn deadline_passed_during_suspension_is_checked_before_heartbeat_is_handled() {
     let mut world = world::World::new(
         0,
-        world::Trouble {
+        world::Faults {
             lost: 0,
             repeated: 0,
-            late: 0,
-            frozen: 0,
+            delayed: 0,
+            suspended: 0,
             replaced: 0,
         },
     );
     world.submit();
-    let waiting = world.entries[0].core.queued();
+    let queued_before = world.entries[0].core.queued();
     world.now_ms = 20_000;
 
     world.tick_runner(0);
 
-    assert!(waiting > 0);
+    assert!(queued_before > 0);
     assert_eq!(world.entries[0].core.queued(), 0);
-    assert!(world.messages.is_empty(), "handed out after its deadline");
-    let answer = world.callers[0].answer.as_ref().expect("an answer");
+    assert!(world.messages.is_empty(), "dispatched after its deadline");
+    let answer = world.callers[0]
+        .answer
+        .as_ref()
+        .expect("the caller was answered");
     assert_eq!(answer.code, codes::Code::DeadlineNotRun);
 }
--- a/tests/unit/dispatching/callers.rs
+++ b/tests/unit/dispatching/callers.rs
@@ -1,9 +1,9 @@
-//! Callers of the entries, and the calls that these pass on to one another.
+//! Simulated callers, and the calls that entries pass on to one another.
 
 use bulrushtiller::api;
 use bulrushtiller::codes;
 use bulrushtiller::entry::calls;
-use bulrushtiller::entry::passing;
+use bulrushtiller::entry::pass_on;
 use bulrushtiller::ids;
 use bulrushtiller::jobs::answer;
 use bulrushtiller::wire;
@@ -14,26 +14,26 @@
 
 pub const TEAM: SmolStr = SmolStr::new_static("escola");
 
-/// Longest waits of an entry for what became of a call that it passed on: of the first copy
-/// of a submission, and of a second one or any other call.
-const FIRST_COPY_MS: u64 = 300;
-const SECOND_COPY_MS: u64 = 1_000;
+/// Time-outs of an entry for a forwarded call: for the first copy of a submission, and for
+/// the second copy or any other call.
+const FIRST_COPY_TIMEOUT_MS: u64 = 300;
+const SECOND_COPY_TIMEOUT_MS: u64 = 1_000;
 
-/// A caller who has heard nothing for so long asks again.
-const PATIENCE_MS: u64 = 3_000;
+/// Time without an answer after which a caller repeats its call.
+const CALLER_RETRY_MS: u64 = 3_000;
 
-/// Who submits one job, and all that it was told.
+/// A caller that submits one job, and the final answer it got.
 pub struct Caller {
     pub submission: api::Submission,
-    /// Known from the beginning, or told by an answer.
+    /// Known from the beginning, or taken from an answer.
     pub id: Option<ids::SubmissionId>,
     pub answer: Option<api::Answer>,
-    ask_at_ms: u64,
+    next_call_ms: u64,
 }
 
-/// A call on its way from one entry to another.
+/// A call in transit from one entry to another.
 #[derive(Clone, Debug)]
-pub struct Passed {
+pub struct Forwarded {
     pub number: u64,
     pub from: ids::Incarnation,
     pub to_entry: usize,
@@ -43,22 +43,22 @@
     is_second: bool,
 }
 
-/// How far a call that was passed on is.
+/// The stage of a forwarded call.
 #[derive(Clone, Debug)]
 pub enum Stage {
-    /// A submission without an id, under a ticket of the leading entry: one copy is out.
+    /// A submission passed on under a ticket of the leading entry; one copy was sent.
     First,
-    /// Nothing came of the first copy in time, a second is out.
+    /// The first copy timed out and a second was sent.
     Second,
-    /// A call about a submission of the other entry, and what to say if it is silent.
+    /// A call about the other entry's submission, with the result code if it does not reply.
     Plain((codes::Code, bool)),
 }
 
 impl world::World {
-    /// A new caller comes to some entry, unless that stands still.
+    /// A new caller submits to a random entry, unless that is suspended.
     pub fn submit(&mut self) {
         let entry = self.rng.random_range(0..self.entries.len());
-        if !self.is_awake(entry) {
+        if !self.is_running(entry) {
             return;
         }
         let number = self.callers.len();
@@ -82,19 +82,19 @@
             submission: submission.clone(),
             id: ticket,
             answer: None,
-            ask_at_ms: 0,
+            next_call_ms: 0,
         });
-        // With the ticket to another entry than the one that gave it.
+        // The ticket may be used at another entry than its issuer.
         let entry = self.rng.random_range(0..self.entries.len());
         self.call(entry, number, wire::Call::Submit(submission));
     }
 
-    /// Callers without the last word ask once more, at whichever entry.
-    pub fn ask_again(&mut self) {
+    /// Callers without a final answer repeat their call at a random entry.
+    pub fn repeat_calls(&mut self) {
         for number in 0..self.callers.len() {
             let caller = &self.callers[number];
-            let is_over = caller.answer.is_some() || caller.ask_at_ms > self.now_ms;
-            let Some(id) = caller.id.clone().filter(|_| !is_over) else {
+            let is_idle = caller.answer.is_some() || caller.next_call_ms > self.now_ms;
+            let Some(id) = caller.id.clone().filter(|_| !is_idle) else {
                 continue;
             };
             let submission = caller.submission.clone();
@@ -113,23 +113,25 @@
     }
 
     fn call(&mut self, entry: usize, caller: usize, call: wire::Call) {
-        self.callers[caller].ask_at_ms = self.now_ms + PATIENCE_MS;
-        if !self.is_awake(entry) {
+        self.callers[caller].next_call_ms = self.now_ms + CALLER_RETRY_MS;
+        if !self.is_running(entry) {
             return;
         }
-        let life = self.entries[entry].incarnation;
+        let incarnation = self.entries[entry].incarnation;
         match self.resolve(entry, call.clone()) {
-            calls::Reply::Answer(answer) => self.told(caller, *answer),
+            calls::Reply::Answer(answer) => self.receive_answer(caller, *answer),
             calls::Reply::Open(key) => {
-                let waiters = self.waiters.entry((life, key)).or_default();
+                let waiters = self.waiters.entry((incarnation, key)).or_default();
                 waiters.push(caller);
             }
             calls::Reply::Forward {
                 owner,
                 if_silent,
                 ticket,
-            } => self.pass(life, &owner, caller, call, (if_silent, ticket)),
-            calls::Reply::Claiming(name) => unreachable!("{name:?}: all ids are tickets"),
+            } => self.forward(incarnation, &owner, caller, call, (if_silent, ticket)),
+            calls::Reply::Claiming(name) => {
+                unreachable!("{name:?} is claimed though all ids are tickets")
+            }
         }
     }
 
@@ -146,7 +148,7 @@
         reply
     }
 
-    fn pass(
+    fn forward(
         &mut self,
         from: ids::Incarnation,
         to: &wire::Peer,
@@ -161,17 +163,17 @@
             }
             _ => Stage::Plain(if_silent),
         };
-        self.passed_on += 1;
-        let number = self.passed_on;
-        self.passed.insert(number, stage);
+        self.forward_count += 1;
+        let number = self.forward_count;
+        self.forwarded.insert(number, stage);
         let at = to
             .name
             .strip_prefix("entry-")
             .and_then(|at| at.parse().ok());
-        self.send_call(Passed {
+        self.send_call(Forwarded {
             number,
             from,
-            to_entry: at.expect("an entry's number"),
+            to_entry: at.expect("entry names end in a number"),
             to: to.incarnation,
             caller,
             call,
@@ -179,136 +181,137 @@
         });
     }
 
-    /// A copy is lost on its way, before or after a connection was made, or its answer is.
-    fn send_call(&mut self, passed: Passed) {
-        let is_first = matches!(self.passed.get(&passed.number), Some(Stage::First));
+    /// Sends a copy, which may be lost before or after the connection is made.
+    fn send_call(&mut self, forwarded: Forwarded) {
+        let is_first = matches!(self.forwarded.get(&forwarded.number), Some(Stage::First));
         let wait_ms = if is_first {
-            FIRST_COPY_MS
+            FIRST_COPY_TIMEOUT_MS
         } else {
-            SECOND_COPY_MS
+            SECOND_COPY_TIMEOUT_MS
         };
-        if self.happens(self.trouble.lost) {
-            self.send(world::Message::CallReply(Box::new(passed), None));
+        if self.happens(self.faults.lost) {
+            self.send(world::Message::CallReply(Box::new(forwarded), None));
             return;
         }
         self.post(
             wait_ms,
-            world::Message::CallSilent(Box::new(passed.clone())),
+            world::Message::CallTimedOut(Box::new(forwarded.clone())),
         );
-        if !self.happens(self.trouble.lost) {
-            self.send(world::Message::Call(Box::new(passed)));
+        if !self.happens(self.faults.lost) {
+            self.send(world::Message::Call(Box::new(forwarded)));
         }
     }
 
-    pub fn call_arrives(&mut self, passed: &Passed) {
-        let (entry, call) = (passed.to_entry, passed.call.clone());
+    pub fn call_arrives(&mut self, forwarded: &Forwarded) {
+        let (entry, call) = (forwarded.to_entry, forwarded.call.clone());
         let id = call_id(&call);
-        let gone = answer::bare(id, codes::Code::OwnerGone, true);
-        let answer = if self.entries[entry].incarnation == passed.to {
+        let owner_gone = answer::bare(id, codes::Code::OwnerGone, true);
+        let answer = if self.entries[entry].incarnation == forwarded.to {
             match self.resolve(entry, call) {
                 calls::Reply::Answer(answer) => *answer,
                 calls::Reply::Open(key) => {
                     let pending = self.entries[entry].core.pending(self.now_ms, key);
-                    pending.expect("it is open")
+                    pending.expect("an open submission has a pending answer")
                 }
-                _ => gone,
+                _ => owner_gone,
             }
         } else {
-            gone
+            owner_gone
         };
-        if !self.happens(self.trouble.lost) {
-            let reply = world::Message::CallReply(Box::new(passed.clone()), Some(Box::new(answer)));
+        if !self.happens(self.faults.lost) {
+            let reply =
+                world::Message::CallReply(Box::new(forwarded.clone()), Some(Box::new(answer)));
             self.send(reply);
         }
     }
 
-    /// What [`bulrushtiller::entry`] does with an answer, in the order of its duties.
-    pub fn call_answered(&mut self, passed: &Passed, answer: Option<Box<api::Answer>>) {
-        let Some(entry) = self.entry_of(passed.from) else {
+    /// Handles the reply to a forwarded call as [`bulrushtiller::entry`] does.
+    pub fn call_answered(&mut self, forwarded: &Forwarded, answer: Option<Box<api::Answer>>) {
+        let Some(entry) = self.entry_of(forwarded.from) else {
             return;
         };
-        let Some(stage) = self.stage_of(passed) else {
+        let Some(stage) = self.stage_of(forwarded) else {
             return;
         };
-        let word = match (stage, answer) {
-            (Stage::First, None) => passing::Passed::Declined,
-            (Stage::First, Some(answer)) => passing::first_word(*answer),
-            (Stage::Second, None) => passing::Passed::Unknown,
-            (Stage::Second, Some(answer)) => passing::second_word(*answer),
-            (Stage::Plain(_), Some(answer)) => passing::Passed::Answer(answer),
-            (Stage::Plain(if_silent), None) => silent(passed, if_silent),
+        let outcome = match (stage, answer) {
+            (Stage::First, None) => pass_on::Outcome::Declined,
+            (Stage::First, Some(answer)) => pass_on::first_copy_outcome(*answer),
+            (Stage::Second, None) => pass_on::Outcome::Unknown,
+            (Stage::Second, Some(answer)) => pass_on::second_copy_outcome(*answer),
+            (Stage::Plain(_), Some(answer)) => pass_on::Outcome::Answer(answer),
+            (Stage::Plain(if_silent), None) => unanswered(forwarded, if_silent),
         };
-        self.settle_passed(entry, passed, word);
+        self.settle_forwarded(entry, forwarded, outcome);
     }
 
-    pub fn call_silent(&mut self, passed: Passed) {
-        let Some(entry) = self.entry_of(passed.from) else {
+    pub fn call_timed_out(&mut self, forwarded: Forwarded) {
+        let Some(entry) = self.entry_of(forwarded.from) else {
             return;
         };
-        match self.stage_of(&passed) {
+        match self.stage_of(&forwarded) {
             Some(Stage::First) => {
-                self.passed.insert(passed.number, Stage::Second);
-                self.send_call(Passed {
+                self.forwarded.insert(forwarded.number, Stage::Second);
+                self.send_call(Forwarded {
                     is_second: true,
-                    ..passed
+                    ..forwarded
                 });
             }
             Some(Stage::Second) => {
-                self.settle_passed(entry, &passed, passing::Passed::Unknown);
+                self.settle_forwarded(entry, &forwarded, pass_on::Outcome::Unknown);
             }
             Some(Stage::Plain(if_silent)) => {
-                let word = silent(&passed, if_silent);
-                self.settle_passed(entry, &passed, word);
+                let outcome = unanswered(&forwarded, if_silent);
+                self.settle_forwarded(entry, &forwarded, outcome);
             }
             None => {}
         }
     }
 
-    /// The stage that this copy's fate is for; what comes later than it counts no more.
-    fn stage_of(&self, passed: &Passed) -> Option<Stage> {
-        let stage = self.passed.get(&passed.number)?.clone();
+    /// Returns the stage of a call, or `None` if it no longer waits for this copy.
+    fn stage_of(&self, forwarded: &Forwarded) -> Option<Stage> {
+        let stage = self.forwarded.get(&forwarded.number)?.clone();
         let is_second = matches!(stage, Stage::Second);
-        (is_second == passed.is_second).then_some(stage)
+        (is_second == forwarded.is_second).then_some(stage)
     }
 
-    fn settle_passed(&mut self, entry: usize, passed: &Passed, word: passing::Passed) {
-        self.passed.remove(&passed.number);
-        match word {
-            passing::Passed::Answer(answer) => self.told(passed.caller, *answer),
-            passing::Passed::Declined => self.keep(entry, passed),
-            passing::Passed::Unknown => {
-                let id = call_id(&passed.call);
+    fn settle_forwarded(&mut self, entry: usize, forwarded: &Forwarded, outcome: pass_on::Outcome) {
+        self.forwarded.remove(&forwarded.number);
+        match outcome {
+            pass_on::Outcome::Answer(answer) => self.receive_answer(forwarded.caller, *answer),
+            pass_on::Outcome::Declined => self.submit_here(entry, forwarded),
+            pass_on::Outcome::Unknown => {
+                let id = call_id(&forwarded.call);
                 let answer = answer::bare(id, codes::Code::OwnerSilent, false);
-                self.told(passed.caller, answer);
+                self.receive_answer(forwarded.caller, answer);
             }
         }
     }
 
-    /// The entry takes a submission in after all, under a ticket of its own.
-    fn keep(&mut self, entry: usize, passed: &Passed) {
-        if let wire::Call::Submit(submission) = passed.call.clone() {
+    /// The entry accepts a declined submission itself, under a ticket of its own.
+    fn submit_here(&mut self, entry: usize, forwarded: &Forwarded) {
+        if let wire::Call::Submit(submission) = forwarded.call.clone() {
             let submission = api::Submission {
                 submission: Some(self.entries[entry].core.ticket()),
                 ..submission
             };
-            self.call(entry, passed.caller, wire::Call::Submit(submission));
+            self.call(entry, forwarded.caller, wire::Call::Submit(submission));
         }
     }
 
-    /// A caller hears an answer; what comes after the last word is not for it.
-    pub fn told(&mut self, caller: usize, answer: api::Answer) {
+    /// A caller receives an answer; answers after the final one are ignored.
+    pub fn receive_answer(&mut self, caller: usize, answer: api::Answer) {
         let pause_ms = self.rng.random_range(300..1_500);
         let caller = &mut self.callers[caller];
         if caller.answer.is_some() {
             return;
         }
-        caller.ask_at_ms = self.now_ms + pause_ms;
+        caller.next_call_ms = self.now_ms + pause_ms;
         caller.id = answer.submission.clone().or(caller.id.take());
         caller.answer = answer.is_final.then_some(answer);
     }
 
-    /// How many callers were told that their job ran, or may have run.
-    pub fn taken_in(&self) -> usize {
+    /// Returns the number of callers whose final answer lists task outcomes.
+    pub fn count_accepted(&self) -> usize {
         let answers = self.callers.iter().filter_map(|one| one.answer.as_ref());
         answers.filter(|answer| !answer.tasks.is_empty()).count()
     }
@@ -318,51 +321,54 @@
             self.check_starts(number, caller);
             match &caller.answer {
                 Some(answer) => self.check_answer(number, caller, answer),
-                None => assert_eq!(caller.id, None, "{number} was never told"),
+                None => assert_eq!(caller.id, None, "caller {number} got no final answer"),
             }
         }
     }
 
-    fn begun(&self, number: usize, index: u32) -> usize {
+    fn count_starts(&self, number: usize, index: u32) -> usize {
         self.started.get(&(number, index)).copied().unwrap_or(0)
     }
 
     fn check_starts(&self, number: usize, caller: &Caller) {
         for (index, _) in (0..).zip(&caller.submission.tasks) {
-            let count = self.begun(number, index);
-            let is_once = caller.submission.idempotent || count <= 1;
-            assert!(is_once, "{number} {index} started {count} times");
+            let count = self.count_starts(number, index);
+            let is_allowed = caller.submission.idempotent || count <= 1;
+            assert!(
+                is_allowed,
+                "caller {number}, task {index} started {count} times"
+            );
         }
     }
 
     fn check_answer(&self, number: usize, caller: &Caller, answer: &api::Answer) {
         if answer.tasks.is_empty() {
-            let is_started = (0..10).any(|index| self.begun(number, index) > 0);
-            let is_known = answer.code.class() != codes::Class::MayHaveRun;
+            let is_started = (0..10).any(|index| self.count_starts(number, index) > 0);
+            let is_definite = answer.code.class() != codes::Class::MayHaveRun;
             let is_not_run = answer.code.class() == codes::Class::NotRun;
             assert!(is_not_run || self.entries.len() > 1, "{answer:?}");
             assert!(
-                !(is_known && is_started),
-                "{number} was told {answer:?} and started"
+                !(is_definite && is_started),
+                "caller {number} got {answer:?} though a task started"
             );
             return;
         }
         assert_eq!(answer.tasks.len(), caller.submission.tasks.len());
         for (index, task) in (0..).zip(&answer.tasks) {
-            let count = self.begun(number, index);
-            let is_true = match task.fate {
+            let count = self.count_starts(number, index);
+            let is_consistent = match task.fate {
                 api::Fate::Ran | api::Fate::Failed => count > 0,
                 api::Fate::NotRun => count == 0,
                 api::Fate::MayHaveRun => true,
                 api::Fate::Pending => false,
             };
             assert!(
-                is_true,
-                "{number} {index} started {count} times, answered {task:?}"
+                is_consistent,
+                "caller {number}, task {index} started {count} times, answered {task:?}"
             );
         }
-        let has_run = answer.tasks.iter().all(|task| task.fate == api::Fate::Ran);
-        assert_eq!(answer.code == codes::Code::Complete, has_run);
+        let all_ran = answer.tasks.iter().all(|task| task.fate == api::Fate::Ran);
+        assert_eq!(answer.code == codes::Code::Complete, all_ran);
     }
 }
 
@@ -375,7 +381,7 @@
     }
 }
 
-fn silent(passed: &Passed, (code, is_final): (codes::Code, bool)) -> passing::Passed {
-    let answer = answer::bare(call_id(&passed.call), code, is_final);
-    passing::Passed::Answer(Box::new(answer))
+fn unanswered(forwarded: &Forwarded, (code, is_final): (codes::Code, bool)) -> pass_on::Outcome {
+    let answer = answer::bare(call_id(&forwarded.call), code, is_final);
+    pass_on::Outcome::Answer(Box::new(answer))
 }
--- a/tests/unit/dispatching/world.rs
+++ b/tests/unit/dispatching/world.rs
@@ -1,4 +1,4 @@
-//! Entries and their runners with a network between them that can do anything.
+//! Entries, runners and the faulty network between them.
 
 use std::collections;
 use std::sync;
@@ -20,20 +20,21 @@
 const STEP_MS: u64 = 20;
 const HEARTBEAT_MS: u64 = 100;
 const RUNNERS: usize = 2;
-/// Length of the troubled part, after which the network and all processes are well.
-const TROUBLE_MS: u64 = 12_000;
-/// Everything is over by then.
+/// Time after which no more faults are injected.
+const FAULTS_END_MS: u64 = 12_000;
+/// End of the simulation; every submission has ended by then.
 const END_MS: u64 = 40_000;
 
-/// How bad a schedule is, in percent of messages or steps.
+/// Fault rates of a schedule, in percent of messages unless noted.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
+pub struct Faults {
     pub lost: u32,
     pub repeated: u32,
-    pub late: u32,
-    /// Per thousand steps, each: a process is frozen, a runner is replaced, or an entry
-    /// where there are two.
-    pub frozen: u32,
+    pub delayed: u32,
+    /// Rate at which each process is suspended, per thousand steps.
+    pub suspended: u32,
+    /// Rate at which each runner is replaced, and each entry if there are two, per thousand
+    /// steps.
     pub replaced: u32,
 }
 
@@ -44,48 +45,48 @@
     Fence(usize, wire::Fence),
     FenceReply(wire::Fence, Box<wire::FenceReply>),
     TaskEnded(usize, ids::Incarnation, ids::Attempt, runner::core::End),
-    /// From one entry to another.
+    /// A heartbeat from one entry to another.
     Heartbeat(usize, Box<wire::Heartbeat>),
     HeartbeatReply(ids::Incarnation, u64, Box<wire::HeartbeatReply>),
-    Call(Box<callers::Passed>),
-    /// To the life of the entry that passed a call on; none: it was not connected to.
-    CallReply(Box<callers::Passed>, Option<Box<api::Answer>>),
-    /// That life has waited for long enough.
-    CallSilent(Box<callers::Passed>),
+    Call(Box<callers::Forwarded>),
+    /// The reply to the entry that forwarded a call, or `None` if the connection failed.
+    CallReply(Box<callers::Forwarded>, Option<Box<api::Answer>>),
+    /// The forwarding entry has waited for the time-out of the call.
+    CallTimedOut(Box<callers::Forwarded>),
 }
 
 pub struct Entry {
     pub core: entry::core::Core,
     pub incarnation: ids::Incarnation,
-    pub frozen_until_ms: u64,
+    pub suspended_until_ms: u64,
 }
 
 struct Runner {
     core: runner::core::Core,
     incarnation: u64,
-    frozen_until_ms: u64,
+    suspended_until_ms: u64,
 }
 
 pub struct World {
     pub rng: rand_chacha::ChaCha8Rng,
-    pub trouble: Trouble,
+    pub faults: Faults,
     pub now_ms: u64,
     settings: sync::Arc<settings::Settings>,
     pub entries: Vec<Entry>,
-    lives: u64,
+    last_incarnation: u64,
     runners: Vec<Runner>,
     pub messages: collections::BTreeMap<(u64, u64), Message>,
     sent: u64,
-    /// The life that a dispatch reached first.
-    reached: collections::BTreeMap<ids::Attempt, u64>,
-    /// By the caller's number and the task's.
+    /// The runner incarnation that each dispatch reached first.
+    first_reached: collections::BTreeMap<ids::Attempt, u64>,
+    /// Number of starts by caller number and task index.
     pub started: collections::BTreeMap<(usize, u32), usize>,
     pub callers: Vec<callers::Caller>,
     pub waiters: collections::HashMap<(ids::Incarnation, jobs::Key), Vec<usize>>,
     answered: collections::HashSet<(ids::Incarnation, jobs::Key)>,
-    /// Calls passed on by an entry that are not settled.
-    pub passed: collections::BTreeMap<u64, callers::Stage>,
-    pub passed_on: u64,
+    /// Forwarded calls that are not settled, by number.
+    pub forwarded: collections::BTreeMap<u64, callers::Stage>,
+    pub forward_count: u64,
 }
 
 fn settings(pass_on_below: f64) -> settings::Settings {
@@ -124,12 +125,12 @@
 
 fn runner_core(
     at: usize,
-    life: u64,
+    incarnation: u64,
     now_ms: u64,
     settings: &sync::Arc<settings::Settings>,
 ) -> runner::core::Core {
     let parts = runner::core::Parts {
-        me: peer(wire::Role::Runner, &at.to_string(), life),
+        me: peer(wire::Role::Runner, &at.to_string(), incarnation),
         slots: 3,
         size: wire::Resources::default(),
     };
@@ -137,79 +138,83 @@
 }
 
 impl World {
-    /// One entry by itself.
-    pub fn new(seed: u64, trouble: Trouble) -> Self {
-        Self::with_entries(1, seed, trouble)
+    /// Creates a simulation with a single entry.
+    pub fn new(seed: u64, faults: Faults) -> Self {
+        Self::with_entries(1, seed, faults)
     }
 
-    /// So many entries, all of which pass everything on to the one that leads.
-    pub fn with_entries(entries: usize, seed: u64, trouble: Trouble) -> Self {
+    /// Creates a simulation with several entries that pass all submissions on to the leader.
+    pub fn with_entries(entries: usize, seed: u64, faults: Faults) -> Self {
         let settings = sync::Arc::new(settings(1.0));
         let runner = |at| Runner {
             core: runner_core(at, 1, 0, &settings),
             incarnation: 1,
-            frozen_until_ms: 0,
+            suspended_until_ms: 0,
         };
         let mut world = Self {
             rng: rand_chacha::ChaCha8Rng::seed_from_u64(seed),
-            trouble,
+            faults,
             now_ms: 0,
             entries: Vec::new(),
-            lives: 0,
+            last_incarnation: 0,
             runners: (0..RUNNERS).map(runner).collect(),
             settings,
             messages: collections::BTreeMap::new(),
             sent: 0,
-            reached: collections::BTreeMap::new(),
+            first_reached: collections::BTreeMap::new(),
             started: collections::BTreeMap::new(),
             callers: Vec::new(),
             waiters: collections::HashMap::new(),
             answered: collections::HashSet::new(),
-            passed: collections::BTreeMap::new(),
-            passed_on: 0,
+            forwarded: collections::BTreeMap::new(),
+            forward_count: 0,
         };
         for at in 0..entries {
-            let entry = world.next_life(at, seed);
+            let entry = world.next_incarnation(at, seed);
             world.entries.push(entry);
         }
         world
     }
 
-    fn next_life(&mut self, at: usize, seed: u64) -> Entry {
-        self.lives += 1;
+    fn next_incarnation(&mut self, at: usize, seed: u64) -> Entry {
+        self.last_incarnation += 1;
         let settings = sync::Arc::clone(&self.settings);
-        let me = peer(wire::Role::Entry, &format!("entry-{at}"), self.lives);
+        let me = peer(
+            wire::Role::Entry,
+            &format!("entry-{at}"),
+            self.last_incarnation,
+        );
         Entry {
             incarnation: me.incarnation,
             core: entry::core::Core::new(me, settings, self.now_ms, seed),
-            frozen_until_ms: 0,
+            suspended_until_ms: 0,
         }
     }
 
-    /// Where a life of an entry is to be found, if it still lives.
-    pub fn entry_of(&self, life: ids::Incarnation) -> Option<usize> {
+    /// Returns the index of an entry incarnation if it still runs.
+    pub fn entry_of(&self, incarnation: ids::Incarnation) -> Option<usize> {
         let mut entries = self.entries.iter();
-        entries.position(|entry| entry.incarnation == life)
+        entries.position(|entry| entry.incarnation == incarnation)
     }
 
-    pub fn is_awake(&self, entry: usize) -> bool {
-        self.entries[entry].frozen_until_ms <= self.now_ms
+    pub fn is_running(&self, entry: usize) -> bool {
+        self.entries[entry].suspended_until_ms <= self.now_ms
     }
 
-    pub fn is_troubled(&self) -> bool {
-        self.now_ms < TROUBLE_MS
+    pub fn has_faults(&self) -> bool {
+        self.now_ms < FAULTS_END_MS
     }
 
     pub fn happens(&mut self, percent: u32) -> bool {
-        self.is_troubled() && self.rng.random_range(0..100) < percent
+        self.has_faults() && self.rng.random_range(0..100) < percent
     }
 
-    fn happens_in_thousand(&mut self, times: u32) -> bool {
-        self.is_troubled() && self.rng.random_range(0..1_000) < times
+    fn happens_permille(&mut self, permille: u32) -> bool {
+        self.has_faults() && self.rng.random_range(0..1_000) < permille
     }
 
     fn delay_ms(&mut self) -> u64 {
-        if self.happens(self.trouble.late) {
+        if self.happens(self.faults.delayed) {
             return self.rng.random_range(50..6_000);
         }
         self.rng.random_range(1..5)
@@ -227,21 +232,24 @@
     }
 
     pub fn act_for_entry(&mut self, entry: usize, actions: Vec<entry::core::Action>) {
-        let life = self.entries[entry].incarnation;
+        let incarnation = self.entries[entry].incarnation;
         for action in actions {
             match action {
                 entry::core::Action::Dispatch { address, dispatch } => {
-                    self.send_dispatch(address.parse().expect("an index"), *dispatch);
+                    self.send_dispatch(
+                        address.parse().expect("address is a runner index"),
+                        *dispatch,
+                    );
                 }
                 entry::core::Action::Fence { address, fence } => {
-                    self.send_fence(address.parse().expect("an index"), fence);
+                    self.send_fence(address.parse().expect("address is a runner index"), fence);
                 }
                 entry::core::Action::Answer { submission, answer } => {
-                    let is_first = self.answered.insert((life, submission));
-                    assert!(is_first, "two last words");
-                    let waiters = self.waiters.remove(&(life, submission));
+                    let is_first = self.answered.insert((incarnation, submission));
+                    assert!(is_first, "submission answered twice");
+                    let waiters = self.waiters.remove(&(incarnation, submission));
                     for caller in waiters.unwrap_or_default() {
-                        self.told(caller, (*answer).clone());
+                        self.receive_answer(caller, (*answer).clone());
                     }
                 }
                 _ => {}
@@ -250,28 +258,28 @@
     }
 
     fn send_fence(&mut self, runner: usize, fence: wire::Fence) {
-        if !self.happens(self.trouble.lost) {
+        if !self.happens(self.faults.lost) {
             self.send(Message::Fence(runner, fence));
         }
     }
 
-    /// A dispatch is lost on its way, or its answer is, or both come, or come twice.
+    /// Sends a dispatch; it or its reply may be lost, and it may be delivered twice.
     fn send_dispatch(&mut self, runner: usize, dispatch: wire::Dispatch) {
         let attempt = dispatch.attempt;
-        if self.happens(self.trouble.lost) {
-            let fault = Message::DispatchFailed(attempt, attempts::DispatchError::NotSent);
-            self.send(fault);
+        if self.happens(self.faults.lost) {
+            let failure = Message::DispatchFailed(attempt, attempts::DispatchError::NotSent);
+            self.send(failure);
             return;
         }
-        if self.happens(self.trouble.lost) {
+        if self.happens(self.faults.lost) {
             let after_ms = self.rng.random_range(1..3_000);
-            let fault = Message::DispatchFailed(attempt, attempts::DispatchError::Lost);
-            self.post(after_ms, fault);
+            let failure = Message::DispatchFailed(attempt, attempts::DispatchError::Lost);
+            self.post(after_ms, failure);
         }
-        if self.happens(self.trouble.repeated) {
+        if self.happens(self.faults.repeated) {
             self.send(Message::Dispatch(runner, Box::new(dispatch.clone())));
         }
-        if !self.happens(self.trouble.lost) {
+        if !self.happens(self.faults.lost) {
             self.send(Message::Dispatch(runner, Box::new(dispatch)));
         }
     }
@@ -289,9 +297,9 @@
                         outcome,
                         load,
                     };
-                    let copies = 1 + usize::from(self.happens(self.trouble.repeated));
+                    let copies = 1 + usize::from(self.happens(self.faults.repeated));
                     for _ in 0..copies {
-                        if !self.happens(self.trouble.lost) {
+                        if !self.happens(self.faults.lost) {
                             self.send(Message::DispatchReply(Box::new(reply.clone())));
                         }
                     }
@@ -301,14 +309,17 @@
     }
 
     fn start(&mut self, at: usize, dispatch: &wire::Dispatch) {
-        let life = ids::Incarnation(self.runners[at].incarnation);
+        let incarnation = ids::Incarnation(self.runners[at].incarnation);
         let attempt = dispatch.attempt;
-        if self.happens(self.trouble.lost) {
+        if self.happens(self.faults.lost) {
             let end = runner::core::End::Unreachable;
-            self.post(5, Message::TaskEnded(at, life, attempt, end));
+            self.post(5, Message::TaskEnded(at, incarnation, attempt, end));
             return;
         }
-        let caller = dispatch.payload.parse().expect("a caller's number");
+        let caller = dispatch
+            .payload
+            .parse()
+            .expect("payload is a caller number");
         let key = (caller, dispatch.index);
         *self.started.entry(key).or_insert(0) += 1;
         let code = match self.rng.random_range(0..40) {
@@ -322,15 +333,20 @@
             peak: wire::Resources::default(),
         };
         let run_ms = self.rng.random_range(10..400);
-        self.post(run_ms, Message::TaskEnded(at, life, attempt, end));
+        self.post(run_ms, Message::TaskEnded(at, incarnation, attempt, end));
     }
 
     fn deliver(&mut self, message: Message) {
         let now_ms = self.now_ms;
         match message {
             Message::Dispatch(at, dispatch) => {
-                let life = self.runners[at].incarnation;
-                if *self.reached.entry(dispatch.attempt).or_insert(life) == life {
+                let incarnation = self.runners[at].incarnation;
+                if *self
+                    .first_reached
+                    .entry(dispatch.attempt)
+                    .or_insert(incarnation)
+                    == incarnation
+                {
                     let actions = self.runners[at].core.dispatch(now_ms, *dispatch);
                     self.act_for_runner(at, actions);
                 }
@@ -338,63 +354,65 @@
             Message::Fence(at, fence) => {
                 let runner = &mut self.runners[at];
                 let (outcomes, actions) = runner.core.fence(now_ms, &fence);
-                let asker = fence.attempts[0].owner;
+                let requester = fence.attempts[0].owner;
                 let reply = wire::FenceReply {
                     version: wire::VERSION,
                     incarnation: ids::Incarnation(runner.incarnation),
                     outcomes,
-                    load: runner.core.load_for(asker),
+                    load: runner.core.load_for(requester),
                 };
                 self.act_for_runner(at, actions);
-                if !self.happens(self.trouble.lost) {
+                if !self.happens(self.faults.lost) {
                     self.send(Message::FenceReply(fence, Box::new(reply)));
                 }
             }
-            Message::TaskEnded(at, life, attempt, end) => {
-                if self.runners[at].incarnation == life.0 {
+            Message::TaskEnded(at, incarnation, attempt, end) => {
+                if self.runners[at].incarnation == incarnation.0 {
                     let actions = self.runners[at].core.ended(now_ms, attempt, end);
                     self.act_for_runner(at, actions);
                 }
             }
-            Message::DispatchReply(reply) => self.with_life(reply.attempt.owner, |entry| {
+            Message::DispatchReply(reply) => self.with_entry(reply.attempt.owner, |entry| {
                 entry.core.dispatch_answered(now_ms, *reply)
             }),
-            Message::DispatchFailed(attempt, fault) => self.with_life(attempt.owner, |entry| {
-                entry.core.dispatch_failed(now_ms, attempt, fault)
+            Message::DispatchFailed(attempt, failure) => self.with_entry(attempt.owner, |entry| {
+                entry.core.dispatch_failed(now_ms, attempt, failure)
             }),
             Message::FenceReply(fence, reply) => {
-                self.with_life(fence.attempts[0].owner, |entry| {
+                self.with_entry(fence.attempts[0].owner, |entry| {
                     entry.core.fence_answered(now_ms, &fence, *reply)
                 });
             }
-            Message::Heartbeat(at, heartbeat) => self.heard(at, &heartbeat),
-            Message::HeartbeatReply(life, asked_ms, reply) => self.with_life(life, |entry| {
-                entry.core.heartbeat_answered(now_ms, asked_ms, &reply);
-                Vec::new()
-            }),
-            Message::Call(passed) => self.call_arrives(&passed),
-            Message::CallReply(passed, answer) => self.call_answered(&passed, answer),
-            Message::CallSilent(passed) => self.call_silent(*passed),
+            Message::Heartbeat(at, heartbeat) => self.receive_heartbeat(at, &heartbeat),
+            Message::HeartbeatReply(receiver, sent_ms, reply) => {
+                self.with_entry(receiver, |entry| {
+                    entry.core.heartbeat_answered(now_ms, sent_ms, &reply);
+                    Vec::new()
+                })
+            }
+            Message::Call(forwarded) => self.call_arrives(&forwarded),
+            Message::CallReply(forwarded, answer) => self.call_answered(&forwarded, answer),
+            Message::CallTimedOut(forwarded) => self.call_timed_out(*forwarded),
         }
     }
 
-    /// Has a life of an entry do something; a past one does nothing.
-    fn with_life(
+    /// Runs `handle` on an entry incarnation, unless it has been replaced.
+    fn with_entry(
         &mut self,
-        life: ids::Incarnation,
-        what: impl FnOnce(&mut Entry) -> Vec<entry::core::Action>,
+        incarnation: ids::Incarnation,
+        handle: impl FnOnce(&mut Entry) -> Vec<entry::core::Action>,
     ) {
-        if let Some(at) = self.entry_of(life) {
-            let actions = what(&mut self.entries[at]);
+        if let Some(at) = self.entry_of(incarnation) {
+            let actions = handle(&mut self.entries[at]);
             self.act_for_entry(at, actions);
         }
     }
 
-    fn heard(&mut self, at: usize, heartbeat: &wire::Heartbeat) {
+    fn receive_heartbeat(&mut self, at: usize, heartbeat: &wire::Heartbeat) {
         let (reply, actions) = self.entries[at].core.heartbeat(self.now_ms, heartbeat);
         self.act_for_entry(at, actions);
-        if heartbeat.sender.role == wire::Role::Entry && !self.happens(self.trouble.lost) {
-            // The age of evidence is not at issue here: the question counts as just sent.
+        if heartbeat.sender.role == wire::Role::Entry && !self.happens(self.faults.lost) {
+            // The age of evidence is not tested here, so the heartbeat counts as just sent.
             let to = heartbeat.sender.incarnation;
             self.send(Message::HeartbeatReply(to, self.now_ms, Box::new(reply)));
         }
@@ -402,36 +420,36 @@
 
     fn send_heartbeats(&mut self, from: usize) {
         for to in (0..self.entries.len()).filter(|to| *to != from) {
-            let life = self.entries[to].incarnation;
+            let incarnation = self.entries[to].incarnation;
             let core = &mut self.entries[from].core;
-            let heartbeat = Box::new(core.heartbeat_to_send(self.now_ms, Some(life)));
-            if !self.happens(self.trouble.lost) {
+            let heartbeat = Box::new(core.heartbeat_to_send(self.now_ms, Some(incarnation)));
+            if !self.happens(self.faults.lost) {
                 self.send(Message::Heartbeat(to, heartbeat));
             }
         }
     }
 
-    /// When the process that a message goes to is awake; a frozen one gets it later.
-    fn awake_at_ms(&self, message: &Message) -> u64 {
+    /// Returns when the receiver of a message runs; a suspended one gets it on resuming.
+    fn running_at_ms(&self, message: &Message) -> u64 {
         match message {
             Message::Dispatch(at, _) | Message::Fence(at, _) | Message::TaskEnded(at, ..) => {
-                self.runners[*at].frozen_until_ms
+                self.runners[*at].suspended_until_ms
             }
-            Message::DispatchReply(reply) => self.life_awake_at_ms(reply.attempt.owner),
-            Message::DispatchFailed(attempt, _) => self.life_awake_at_ms(attempt.owner),
-            Message::FenceReply(fence, _) => self.life_awake_at_ms(fence.attempts[0].owner),
-            Message::Heartbeat(at, _) => self.entries[*at].frozen_until_ms,
-            Message::HeartbeatReply(life, ..) => self.life_awake_at_ms(*life),
-            Message::Call(passed) => self.entries[passed.to_entry].frozen_until_ms,
-            Message::CallReply(passed, _) | Message::CallSilent(passed) => {
-                self.life_awake_at_ms(passed.from)
+            Message::DispatchReply(reply) => self.entry_running_at_ms(reply.attempt.owner),
+            Message::DispatchFailed(attempt, _) => self.entry_running_at_ms(attempt.owner),
+            Message::FenceReply(fence, _) => self.entry_running_at_ms(fence.attempts[0].owner),
+            Message::Heartbeat(at, _) => self.entries[*at].suspended_until_ms,
+            Message::HeartbeatReply(receiver, ..) => self.entry_running_at_ms(*receiver),
+            Message::Call(forwarded) => self.entries[forwarded.to_entry].suspended_until_ms,
+            Message::CallReply(forwarded, _) | Message::CallTimedOut(forwarded) => {
+                self.entry_running_at_ms(forwarded.from)
             }
         }
     }
 
-    fn life_awake_at_ms(&self, life: ids::Incarnation) -> u64 {
-        let entry = self.entry_of(life);
-        entry.map_or(0, |at| self.entries[at].frozen_until_ms)
+    fn entry_running_at_ms(&self, incarnation: ids::Incarnation) -> u64 {
+        let entry = self.entry_of(incarnation);
+        entry.map_or(0, |at| self.entries[at].suspended_until_ms)
     }
 
     fn step(&mut self) {
@@ -439,14 +457,14 @@
         let later = self.messages.split_off(&(self.now_ms, 0));
         let due = std::mem::replace(&mut self.messages, later);
         for ((_, order), message) in due {
-            let awake_ms = self.awake_at_ms(&message);
-            if awake_ms > self.now_ms {
-                self.messages.insert((awake_ms, order), message);
+            let resume_ms = self.running_at_ms(&message);
+            if resume_ms > self.now_ms {
+                self.messages.insert((resume_ms, order), message);
             } else {
                 self.deliver(message);
             }
         }
-        self.disturb();
+        self.inject_faults();
         for at in 0..RUNNERS {
             self.tick_runner(at);
         }
@@ -456,7 +474,7 @@
     }
 
     fn tick_entry(&mut self, at: usize) {
-        if !self.is_awake(at) {
+        if !self.is_running(at) {
             return;
         }
         let actions = self.entries[at].core.tick(self.now_ms);
@@ -466,33 +484,33 @@
         }
     }
 
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         for at in 0..self.entries.len() {
-            if self.happens_in_thousand(self.trouble.frozen) {
+            if self.happens_permille(self.faults.suspended) {
                 let until_ms = self.now_ms + self.rng.random_range(100..8_000);
-                self.entries[at].frozen_until_ms = until_ms;
+                self.entries[at].suspended_until_ms = until_ms;
             }
-            if self.entries.len() > 1 && self.happens_in_thousand(self.trouble.replaced) {
-                self.entries[at] = self.next_life(at, self.now_ms);
+            if self.entries.len() > 1 && self.happens_permille(self.faults.replaced) {
+                self.entries[at] = self.next_incarnation(at, self.now_ms);
             }
         }
         for at in 0..RUNNERS {
-            if self.happens_in_thousand(self.trouble.frozen) {
+            if self.happens_permille(self.faults.suspended) {
                 let until_ms = self.now_ms + self.rng.random_range(100..4_000);
-                self.runners[at].frozen_until_ms = until_ms;
+                self.runners[at].suspended_until_ms = until_ms;
             }
-            if self.happens_in_thousand(self.trouble.replaced) {
-                let life = self.runners[at].incarnation + 1;
-                let core = runner_core(at, life, self.now_ms, &self.settings);
+            if self.happens_permille(self.faults.replaced) {
+                let incarnation = self.runners[at].incarnation + 1;
+                let core = runner_core(at, incarnation, self.now_ms, &self.settings);
                 self.runners[at].core = core;
-                self.runners[at].incarnation = life;
+                self.runners[at].incarnation = incarnation;
             }
         }
     }
 
     pub fn tick_runner(&mut self, at: usize) {
         let now_ms = self.now_ms;
-        if self.runners[at].frozen_until_ms > now_ms {
+        if self.runners[at].suspended_until_ms > now_ms {
             return;
         }
         let core = &mut self.runners[at].core;
@@ -500,14 +518,15 @@
         let actions = core.tick(now_ms);
         self.act_for_runner(at, actions);
         for entry in 0..self.entries.len() {
-            let is_heard = now_ms.is_multiple_of(HEARTBEAT_MS) && !self.happens(self.trouble.lost);
-            if is_heard && self.is_awake(entry) {
+            let is_delivered =
+                now_ms.is_multiple_of(HEARTBEAT_MS) && !self.happens(self.faults.lost);
+            if is_delivered && self.is_running(entry) {
                 let core = &mut self.runners[at].core;
                 let heartbeat = wire::Heartbeat {
                     load: Some(core.load_for(self.entries[entry].incarnation)),
                     ..wire::Heartbeat::new(core.me().clone())
                 };
-                self.heard(entry, &heartbeat);
+                self.receive_heartbeat(entry, &heartbeat);
             }
         }
     }
@@ -515,8 +534,8 @@
     pub fn run(mut self) -> Self {
         while self.now_ms < END_MS {
             self.step();
-            self.ask_again();
-            if self.is_troubled() && self.rng.random_range(0..8) == 0 {
+            self.repeat_calls();
+            if self.has_faults() && self.rng.random_range(0..8) == 0 {
                 self.submit();
             }
         }
--- a/tests/unit/entry.rs
+++ b/tests/unit/entry.rs
@@ -1,4 +1,4 @@
-//! What an entry decides from what it heard last.
+//! Decisions of an entry on its latest view of runners, settings and peers.
 
 use std::sync;
 
@@ -6,7 +6,7 @@
 use bulrushtiller::codes;
 use bulrushtiller::entry;
 use bulrushtiller::entry::calls;
-use bulrushtiller::entry::passing;
+use bulrushtiller::entry::pass_on;
 use bulrushtiller::ids;
 use bulrushtiller::jobs;
 use bulrushtiller::settings;
@@ -50,8 +50,9 @@
     sync::Arc::new(settings)
 }
 
-/// An entry that has run for long enough without a runner to refuse for want of one.
-fn lonely_entry(settings: sync::Arc<settings::Settings>) -> (entry::core::Core, u64) {
+/// Returns an entry that has been without a runner long enough to refuse submissions, and
+/// the current time.
+fn entry_without_runner(settings: sync::Arc<settings::Settings>) -> (entry::core::Core, u64) {
     let end_ms = u64::from(settings.timeouts.dead_after_ms) * 2;
     let mut entry = entry::core::Core::new(peer(wire::Role::Entry, "entry"), settings, 0, 1);
     let ticks = (0..=end_ms).step_by(TICK_MS.try_into().unwrap());
@@ -73,31 +74,31 @@
     }
 }
 
-// Entries are replaced and the runners find the new ones only after a while. A caller who
-// sees on `/status` that runners are there submits at once, and is told that no backend
-// server is in service. The entry had kept what its last tick saw.
+// Runners contact a replaced entry only after a while. A caller that sees them on `/status`
+// and submits at once must not be refused for lack of backend servers, which happens if the
+// entry decides on the state of its last tick.
 #[test]
-fn runner_counts_from_its_first_heartbeat_on() {
-    let (mut entry, now_ms) = lonely_entry(settings(&[]));
-    let before = submit(&mut entry, now_ms);
+fn submission_is_accepted_after_first_runner_heartbeat() {
+    let (mut entry, now_ms) = entry_without_runner(settings(&[]));
+    let refused_before = submit(&mut entry, now_ms);
 
     entry.heartbeat(now_ms, &heartbeat());
-    let after = submit(&mut entry, now_ms);
+    let refused_after = submit(&mut entry, now_ms);
 
-    assert_eq!(before, Some(codes::Code::NoCapacity));
-    assert_eq!(after, None);
+    assert_eq!(refused_before, Some(codes::Code::NoCapacity));
+    assert_eq!(refused_after, None);
 }
 
-// The only zone comes back after a long time out, and a caller submits before the entry's
-// clock has ticked once more.
+// The only zone returns to service after a long time, and a submission arrives before the
+// next tick of the entry.
 #[rstest]
-#[case::still_out(&[ZONE], Some(codes::Code::NoCapacity))]
-#[case::back(&[], None)]
-fn zone_counts_from_the_change_that_brings_it_back(
+#[case::zone_still_out(&[ZONE], Some(codes::Code::NoCapacity))]
+#[case::zone_back(&[], None)]
+fn submission_is_refused_until_settings_bring_zone_back(
     #[case] out: &[&str],
     #[case] refused: Option<codes::Code>,
 ) {
-    let (mut entry, now_ms) = lonely_entry(settings(&[ZONE]));
+    let (mut entry, now_ms) = entry_without_runner(settings(&[ZONE]));
     entry.heartbeat(now_ms, &heartbeat());
 
     entry.set_settings(now_ms, settings(out), None);
@@ -105,11 +106,11 @@
     assert_eq!(submit(&mut entry, now_ms), refused);
 }
 
-// A caller whose submission lies in a silent connection, or in the buffer of an entry that
-// stands still, asks for its answer; after the thaw the question is read first. It must not
-// be told for good that nothing is known: the submission is read next, and starts.
+// A submission is delayed in a stalled connection or in the receive buffer of a suspended
+// entry, and a fetch for it is read first. "Unknown" must not be final: the submission is
+// read next and starts.
 #[test]
-fn question_that_overtakes_its_submission_has_not_the_last_word() {
+fn fetch_before_its_submission_is_not_final() {
     let mut entry = entry::core::Core::new(peer(wire::Role::Entry, "entry"), settings(&[]), 0, 1);
     entry.heartbeat(0, &heartbeat());
     let ticket = entry.ticket();
@@ -121,55 +122,55 @@
         tasks: vec![api::Task::default()],
     };
 
-    let overtaking = entry.fetch(0, &TEAM, &ticket);
-    let (late, _) = entry.submit(0, &TEAM, submission);
+    let early_fetch = entry.fetch(0, &TEAM, &ticket);
+    let (late_submit, _) = entry.submit(0, &TEAM, submission);
 
-    let calls::Reply::Answer(answer) = overtaking else {
-        panic!("{overtaking:?}");
+    let calls::Reply::Answer(answer) = early_fetch else {
+        panic!("expected an answer, got {early_fetch:?}");
     };
     assert_eq!(answer.code, codes::Code::UnknownSubmission);
     assert!(!answer.is_final);
-    assert!(matches!(late, calls::Reply::Open(_)));
+    assert!(matches!(late_submit, calls::Reply::Open(_)));
 }
 
 fn answer(code: codes::Code, is_final: bool) -> api::Answer {
     jobs::answer::bare(None, code, is_final)
 }
 
-// A submission was passed on and lies in a silent connection; its second copy is refused.
-// Whoever keeps it then starts it, and if the first copy arrives where the refusal was not
-// remembered, it starts once more.
+// The first copy of a submission that was passed on is delayed and the second is refused. If
+// the sender then places the submission itself, and the first copy arrives at an entry that
+// does not remember the refusal, the tasks start twice.
 #[rstest]
-#[case::stops(codes::Code::Leaving, true, true, true)]
-#[case::sees_no_runner(codes::Code::NoCapacity, true, true, true)]
-#[case::has_no_room(codes::Code::EntryQueueFull, true, true, true)]
-#[case::could_not_remember(codes::Code::EntryQueueFull, false, false, false)]
-#[case::has_no_settings(codes::Code::NotFresh, true, true, false)]
-#[case::is_another_life(codes::Code::OwnerGone, true, true, false)]
-#[case::does_not_know_the_ticket(codes::Code::BadTicket, true, true, false)]
-#[case::refuses_for_load(codes::Code::TeamQueueFull, true, false, false)]
-#[case::took_it_in(codes::Code::Pending, false, false, false)]
-fn passed_submission_is_kept_where_it_never_starts_elsewhere(
+#[case::entry_leaving(codes::Code::Leaving, true, true, true)]
+#[case::no_capacity(codes::Code::NoCapacity, true, true, true)]
+#[case::queue_full(codes::Code::EntryQueueFull, true, true, true)]
+#[case::queue_full_not_remembered(codes::Code::EntryQueueFull, false, false, false)]
+#[case::no_settings(codes::Code::NotFresh, true, true, false)]
+#[case::other_incarnation(codes::Code::OwnerGone, true, true, false)]
+#[case::unknown_ticket(codes::Code::BadTicket, true, true, false)]
+#[case::team_queue_full(codes::Code::TeamQueueFull, true, false, false)]
+#[case::accepted(codes::Code::Pending, false, false, false)]
+fn declined_submission_is_kept_only_if_it_cannot_start_elsewhere(
     #[case] code: codes::Code,
     #[case] is_final: bool,
     #[case] after_first: bool,
     #[case] after_second: bool,
 ) {
-    let is_kept = |passed| passed == passing::Passed::Declined;
+    let is_declined = |outcome| outcome == pass_on::Outcome::Declined;
 
     assert_eq!(
-        is_kept(passing::first_word(answer(code, is_final))),
+        is_declined(pass_on::first_copy_outcome(answer(code, is_final))),
         after_first
     );
     assert_eq!(
-        is_kept(passing::second_word(answer(code, is_final))),
+        is_declined(pass_on::second_copy_outcome(answer(code, is_final))),
         after_second
     );
 }
 
-/// Appends that an entry makes in a second in which a claim comes every five milliseconds
-/// and the log answers at once, and the ids in them.
-fn claims_of_a_second(entries: u64) -> (usize, usize) {
+/// Returns the number of appends by one entry in a second, and of the ids in them, with a
+/// claim every five milliseconds and a log that answers at once.
+fn appends_in_one_second(entries: u64) -> (usize, usize) {
     let mut entry = entry::core::Core::new(peer(wire::Role::Entry, "entry"), settings(&[]), 0, 1);
     for at in 1..entries {
         let sender = peer(wire::Role::Entry, &format!("entry-{at}"));
@@ -203,15 +204,15 @@
     (appends, ids)
 }
 
-// Callers of 164 entries choose their own ids. With one append for each the log, which
-// takes several hundred a second, would answer late, and the calls be refused.
+// The callers of 164 entries choose their own ids. One append per id would exceed the few
+// hundred appends per second that the log accepts, and calls would be refused for its latency.
 #[rstest]
-#[case::three(3, 200, 200)]
-#[case::many(164, 3, 195)]
-fn claims_share_an_append_where_entries_are_many(
+#[case::few_entries(3, 200, 200)]
+#[case::many_entries(164, 3, 195)]
+fn claims_are_batched_when_entries_are_many(
     #[case] entries: u64,
     #[case] appends: usize,
     #[case] ids: usize,
 ) {
-    assert_eq!(claims_of_a_second(entries), (appends, ids));
+    assert_eq!(appends_in_one_second(entries), (appends, ids));
 }
