--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -1,4 +1,4 @@
-//! What is told of submissions that ended some time ago.
+//! Answers about submissions that ended some time ago.
 
 use std::sync;
 
@@ -24,7 +24,7 @@
 
 const TEAM: SmolStr = SmolStr::new_static("escola");
 const ANSWER_MS: u32 = 10_000;
-const WHOLE_MS: u64 = ANSWER_MS as u64;
+const FULL_ANSWER_MS: u64 = ANSWER_MS as u64;
 const TICK_MS: usize = 100;
 
 fn peer(role: wire::Role, name: &str) -> wire::Peer {
@@ -74,19 +74,19 @@
     }
 }
 
-/// Answers all dispatches; the last task ends with that code.
+/// Answers all dispatches; the last task ends with `last_code`.
 fn answer_all(
     entry: &mut entry::core::Core,
     now_ms: u64,
     actions: Vec<entry::core::Action>,
-    last: codes::Code,
+    last_code: codes::Code,
 ) {
     for (sequence, action) in (2..).zip(actions) {
         let entry::core::Action::Dispatch { dispatch, .. } = action else {
             continue;
         };
         let code = if dispatch.index == 2 {
-            last
+            last_code
         } else {
             codes::Code::Complete
         };
@@ -105,44 +105,43 @@
     }
 }
 
-/// An entry with one submission that ended at 0, and the submission's ticket.
-fn ended(last: codes::Code) -> (entry::core::Core, ids::SubmissionId) {
+/// Returns an entry with one submission that ended at time 0, and the submission's ticket.
+fn entry_with_ended(last_code: codes::Code) -> (entry::core::Core, ids::SubmissionId) {
     let mut entry = entry_with_a_runner();
     let id = entry.ticket();
     let (_, actions) = entry.submit(0, &TEAM, submission(&id));
-    answer_all(&mut entry, 0, actions, last);
+    answer_all(&mut entry, 0, actions, last_code);
     (entry, id)
 }
 
-fn pass(entry: &mut entry::core::Core, from_ms: u64, to_ms: u64) {
+fn run_ticks(entry: &mut entry::core::Core, from_ms: u64, to_ms: u64) {
     (from_ms..=to_ms)
         .step_by(TICK_MS)
         .for_each(|now_ms| drop(entry.tick(now_ms)));
 }
 
-fn told(reply: calls::Reply) -> api::Answer {
+fn into_answer(reply: calls::Reply) -> api::Answer {
     match reply {
         calls::Reply::Answer(answer) => *answer,
-        other => panic!("no answer: {other:?}"),
+        other => panic!("expected an answer, got {other:?}"),
     }
 }
 
-// A caller whose connection broke sends its submission again, long after it ended. It must
-// be told what became of it, and no second certified copy be issued: the outputs are gone,
-// the tasks' fates are not.
+// A caller whose connection broke repeats its submission long after it ended. The outputs
+// have expired, but the outcome of each task must be returned and nothing may run again.
 #[rstest]
 #[case::complete(codes::Code::Complete, codes::Code::OutputsExpired, api::Fate::Ran)]
 #[case::failed(codes::Code::TaskFailed, codes::Code::TaskFailed, api::Fate::Failed)]
-fn late_repeat_is_told_the_fates_and_starts_nothing(
-    #[case] last: codes::Code,
+fn late_repeat_gets_task_outcomes_and_starts_nothing(
+    #[case] last_code: codes::Code,
     #[case] expected: codes::Code,
     #[case] fate: api::Fate,
 ) {
-    let (mut entry, id) = ended(last);
-    pass(&mut entry, 0, WHOLE_MS);
+    let (mut entry, id) = entry_with_ended(last_code);
+    run_ticks(&mut entry, 0, FULL_ANSWER_MS);
 
-    let (reply, actions) = entry.submit(WHOLE_MS, &TEAM, submission(&id));
-    let answer = told(reply);
+    let (reply, actions) = entry.submit(FULL_ANSWER_MS, &TEAM, submission(&id));
+    let answer = into_answer(reply);
 
     let fates: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
     assert_eq!(actions, []);
@@ -154,42 +153,46 @@
 }
 
 #[test]
-fn late_repeat_with_other_content_is_still_refused() {
-    let (mut entry, id) = ended(codes::Code::Complete);
-    pass(&mut entry, 0, WHOLE_MS);
+fn late_repeat_with_other_content_is_refused() {
+    let (mut entry, id) = entry_with_ended(codes::Code::Complete);
+    run_ticks(&mut entry, 0, FULL_ANSWER_MS);
     let mut other = submission(&id);
     other.tasks.pop();
 
-    let (reply, actions) = entry.submit(WHOLE_MS, &TEAM, other);
+    let (reply, actions) = entry.submit(FULL_ANSWER_MS, &TEAM, other);
 
     assert_eq!(actions, []);
-    assert_eq!(told(reply).code, codes::Code::ContentConflict);
+    assert_eq!(into_answer(reply).code, codes::Code::ContentConflict);
 }
 
-// A caller fetches its answer, loses it on the way and fetches it again.
+// A caller fetches its answer, loses the response and fetches it again.
 #[test]
-fn answer_stays_whole_for_a_while_after_it_was_asked_for() {
-    let (mut entry, id) = ended(codes::Code::Complete);
-    let late_ms = WHOLE_MS - 1_000;
-    pass(&mut entry, 0, late_ms);
-    let first = told(entry.fetch(late_ms, &TEAM, &id));
-    pass(&mut entry, late_ms, late_ms + WHOLE_MS - 1);
-
-    let second = told(entry.fetch(late_ms + WHOLE_MS - 1, &TEAM, &id));
+fn fetched_answer_keeps_outputs_for_the_retention_time() {
+    let (mut entry, id) = entry_with_ended(codes::Code::Complete);
+    let first_fetch_ms = FULL_ANSWER_MS - 1_000;
+    run_ticks(&mut entry, 0, first_fetch_ms);
+    let first = into_answer(entry.fetch(first_fetch_ms, &TEAM, &id));
+    run_ticks(
+        &mut entry,
+        first_fetch_ms,
+        first_fetch_ms + FULL_ANSWER_MS - 1,
+    );
+
+    let second = into_answer(entry.fetch(first_fetch_ms + FULL_ANSWER_MS - 1, &TEAM, &id));
 
     assert_eq!(first.code, codes::Code::Complete);
     assert_eq!(second, first);
 }
 
-// The entry is frozen for longer than answers are kept whole. Its callers could not ask
-// meanwhile, and would find their outputs gone as soon as it is thawed.
+// The entry is suspended for longer than it keeps outputs. Callers could not fetch them
+// meanwhile, and would find them expired as soon as the entry resumes.
 #[test]
-fn pause_of_the_entry_takes_no_time_from_its_callers() {
-    let (mut entry, id) = ended(codes::Code::Complete);
-    let thawed_ms = 3 * WHOLE_MS;
-    entry.tick(thawed_ms);
+fn suspension_of_entry_does_not_shorten_answer_retention() {
+    let (mut entry, id) = entry_with_ended(codes::Code::Complete);
+    let resumed_ms = 3 * FULL_ANSWER_MS;
+    entry.tick(resumed_ms);
 
-    let answer = told(entry.fetch(thawed_ms, &TEAM, &id));
+    let answer = into_answer(entry.fetch(resumed_ms, &TEAM, &id));
 
     assert_eq!(answer.code, codes::Code::Complete);
     assert_eq!(answer.tasks.len(), 3);
@@ -198,7 +201,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
     End,
-    Ask(usize),
+    Fetch(usize),
     Pause(u64),
     Wait(u64),
 }
@@ -206,17 +209,17 @@
 fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => proptest::strategy::Just(Step::End),
-        3 => (0_usize..20).prop_map(Step::Ask),
+        3 => (0_usize..20).prop_map(Step::Fetch),
         1 => (0_u64..30).prop_map(Step::Pause),
         6 => (0_u64..12).prop_map(Step::Wait),
     ]
 }
 
-/// Shortest time for which answers are whole in the property test, milliseconds.
-const SHORT_MS: u64 = 20;
+/// Shortest time for which answers keep their outputs in the property test, in milliseconds.
+const MIN_FULL_ANSWER_MS: u64 = 20;
 
-/// Takes in a submission without tasks, which ends at once.
-fn end_one(table: &mut jobs::Table, now_ms: u64, number: usize) -> jobs::Key {
+/// Inserts a submission without tasks, which ends at once.
+fn insert_ended(table: &mut jobs::Table, now_ms: u64, number: usize) -> jobs::Key {
     let header = jobs::Header {
         id: ids::SubmissionId::Own(smol_str::format_smolstr!("{number}")),
         team: TEAM,
@@ -226,25 +229,32 @@
         is_idempotent: false,
     };
     let key = table.insert(jobs::Open::new(header, Vec::new()));
-    table.settle(key, now_ms).expect("nothing is undecided");
+    table
+        .settle(key, now_ms)
+        .expect("a submission without tasks settles");
     key
 }
 
-fn is_whole(table: &jobs::Table, key: jobs::Key) -> bool {
+fn has_full_answer(table: &jobs::Table, key: jobs::Key) -> bool {
     matches!(table.get(key), Some(table::Submission::Ended(_)))
 }
 
-fn run(steps: &[Step]) -> Result<(), test_runner::TestCaseError> {
+fn check_retention(steps: &[Step]) -> Result<(), test_runner::TestCaseError> {
     let mut table = jobs::Table::new(0);
-    let mut told = Vec::<(jobs::Key, u64)>::new();
+    let mut submissions = Vec::<(jobs::Key, u64)>::new();
     let (mut now_ms, mut paused_ms) = (0, 0);
     for step in steps {
         match *step {
-            Step::End => told.push((end_one(&mut table, now_ms, told.len()), now_ms - paused_ms)),
-            // What is short by then stays so.
-            Step::Ask(at) if at < told.len() && is_whole(&table, told[at].0) => {
-                table.touch(now_ms, told[at].0);
-                told[at].1 = now_ms - paused_ms;
+            Step::End => submissions.push((
+                insert_ended(&mut table, now_ms, submissions.len()),
+                now_ms - paused_ms,
+            )),
+            // An answer without outputs stays so.
+            Step::Fetch(at)
+                if at < submissions.len() && has_full_answer(&table, submissions[at].0) =>
+            {
+                table.touch(now_ms, submissions[at].0);
+                submissions[at].1 = now_ms - paused_ms;
             }
             Step::Pause(ms) => {
                 now_ms += ms;
@@ -252,34 +262,34 @@
                 table.exclude_pause(ms);
             }
             Step::Wait(ms) => now_ms += ms,
-            Step::Ask(_) => {}
+            Step::Fetch(_) => {}
         }
-        table.compact(now_ms, SHORT_MS);
-        for (at, (key, told_ms)) in told.iter().enumerate() {
-            let known = table.get(*key).expect("all are remembered");
-            let age_ms = now_ms - paused_ms - told_ms;
-            let is_in_time = is_whole(&table, *key) || age_ms >= SHORT_MS;
-            prop_assert_eq!(known.fingerprint(), at as u64);
-            prop_assert!(is_in_time, "short after {}", age_ms);
+        table.compact(now_ms, MIN_FULL_ANSWER_MS);
+        for (at, (key, since_ms)) in submissions.iter().enumerate() {
+            let stored = table.get(*key).expect("every submission is remembered");
+            let age_ms = now_ms - paused_ms - since_ms;
+            let is_retained_or_old = has_full_answer(&table, *key) || age_ms >= MIN_FULL_ANSWER_MS;
+            prop_assert_eq!(stored.fingerprint(), at as u64);
+            prop_assert!(is_retained_or_old, "outputs expired after {} ms", age_ms);
         }
     }
-    let end_ms = now_ms + 2 * SHORT_MS;
-    table.compact(now_ms + SHORT_MS, SHORT_MS);
-    table.compact(end_ms, SHORT_MS);
-    let is_short = |(key, _): &(jobs::Key, u64)| {
+    let end_ms = now_ms + 2 * MIN_FULL_ANSWER_MS;
+    table.compact(now_ms + MIN_FULL_ANSWER_MS, MIN_FULL_ANSWER_MS);
+    table.compact(end_ms, MIN_FULL_ANSWER_MS);
+    let is_summary = |(key, _): &(jobs::Key, u64)| {
         matches!(table.get(*key), Some(table::Submission::Summary(_)))
     };
-    prop_assert!(told.iter().all(is_short));
+    prop_assert!(submissions.iter().all(is_summary));
     Ok(())
 }
 
-// Answers are told, asked for again and left alone in any order, with pauses in between.
+// Submissions end, are fetched and are left alone in any order, with suspensions in between.
 #[test]
-fn answers_are_whole_for_their_time_and_short_in_the_end() {
+fn answers_keep_outputs_for_retention_time_and_then_shrink() {
     let mut runner = test_runner::TestRunner::new(fixed::cases(500));
     let steps = collection::vec(any_step(), 1..80);
 
-    let result = runner.run(&steps, |steps| run(&steps));
+    let result = runner.run(&steps, |steps| check_retention(&steps));
 
     assert_eq!(result, Ok(()));
 }
--- a/tests/unit/answers.rs
+++ b/tests/unit/answers.rs
@@ -1,4 +1,4 @@
-//! Whose answer a caller gets, against a naive map.
+//! Answers reach the right caller complete, checked against a simple model.
 
 use std::collections;
 use std::sync;
@@ -26,30 +26,30 @@
 const CASES: u32 = 512;
 const TEAMS: [&str; 3] = ["escola", "oficina", "parque"];
 const TICKETS: usize = 2;
-/// Own ids and tickets, each of which all teams use.
+/// Number of client-chosen ids and tickets; all teams use each of them.
 const IDS: usize = 4;
-/// Enough for all tasks at once: what waits is not at issue here.
+/// Enough for all tasks at once, so that no task is queued.
 const SLOTS: u32 = 1_000;
-const LIFE: ids::Incarnation = ids::Incarnation(7);
+const INCARNATION: ids::Incarnation = ids::Incarnation(7);
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A team submits under an id: so many tasks of this content.
+    /// A team submits this many tasks with this content under an id.
     Submit {
         team: usize,
         id: usize,
         content: usize,
         tasks: usize,
     },
-    /// A team asks for the answer.
+    /// A team fetches the answer.
     Fetch { team: usize, id: usize },
-    /// A dispatch is answered, whichever, however late, perhaps again.
+    /// Any dispatch is answered, possibly late or again.
     Outcome {
         at: usize,
         succeeds: bool,
-        is_of_earlier_life: bool,
+        is_for_earlier_incarnation: bool,
     },
-    /// The log's claims are read.
+    /// The entry reads the claims stream.
     Read,
 }
 
@@ -64,10 +64,12 @@
         }
     });
     let outcome =
-        (0_usize..40, 0_u32..12, 0_u32..6).prop_map(|(at, fails, earlier)| Step::Outcome {
-            at,
-            succeeds: fails > 0,
-            is_of_earlier_life: earlier == 0,
+        (0_usize..40, 0_u32..12, 0_u32..6).prop_map(|(at, failure_draw, incarnation_draw)| {
+            Step::Outcome {
+                at,
+                succeeds: failure_draw > 0,
+                is_for_earlier_incarnation: incarnation_draw == 0,
+            }
         });
     prop_oneof![
         5 => submit,
@@ -79,21 +81,24 @@
 
 type Name = (usize, usize);
 
-/// A submission as a plain map knows it: what was asked first, and what came of it.
-struct Naive {
+/// Model of a submission: the payloads of the first request and the task outcomes.
+struct Model {
     payloads: Vec<String>,
-    /// Of each task, once it ended: whether it succeeded.
-    ends: Vec<Option<bool>>,
+    /// Whether each task succeeded, once it has ended.
+    outcomes: Vec<Option<bool>>,
 }
 
-impl Naive {
-    fn is_over(&self) -> bool {
-        self.ends.iter().all(Option::is_some)
+impl Model {
+    fn has_ended(&self) -> bool {
+        self.outcomes.iter().all(Option::is_some)
     }
 
-    /// The outputs that the answer must carry: all or none.
+    /// Returns the outputs that the answer must carry: all or none.
     fn outputs(&self) -> Vec<Option<String>> {
-        let is_complete = self.ends.iter().all(|end| *end == Some(true));
+        let is_complete = self
+            .outcomes
+            .iter()
+            .all(|succeeded| *succeeded == Some(true));
         let output = |payload: &String| is_complete.then(|| output(payload));
         self.payloads.iter().map(output).collect()
     }
@@ -107,11 +112,11 @@
     entry: entry::core::Core,
     ids: Vec<ids::SubmissionId>,
     now_ms: u64,
-    naive: collections::BTreeMap<Name, Naive>,
+    model: collections::BTreeMap<Name, Model>,
     keys: collections::HashMap<jobs::Key, Name>,
     answered: collections::BTreeSet<Name>,
-    /// Calls that wait for a claim, in the order in which they came.
-    waiting: Vec<(Name, api::Submission)>,
+    /// Calls that wait for a claim, in order of arrival.
+    waiting_calls: Vec<(Name, api::Submission)>,
     log: Vec<claims::Record>,
     dispatches: Vec<wire::Dispatch>,
     settled: collections::BTreeSet<usize>,
@@ -165,20 +170,20 @@
             let quota = settings::Team::default();
             settings.teams.insert(SmolStr::new_static(team), quota);
         }
-        let me = peer(wire::Role::Entry, "entry", LIFE);
+        let me = peer(wire::Role::Entry, "entry", INCARNATION);
         let mut entry = entry::core::Core::new(me, sync::Arc::new(settings), 0, 1);
         entry.heartbeat(0, &heartbeat());
-        let own = |at| ids::SubmissionId::Own(smol_str::format_smolstr!("id-{at}"));
-        let mut ids: Vec<_> = (TICKETS..IDS).map(own).collect();
+        let own_id = |at| ids::SubmissionId::Own(smol_str::format_smolstr!("id-{at}"));
+        let mut ids: Vec<_> = (TICKETS..IDS).map(own_id).collect();
         ids.extend((0..TICKETS).map(|_| entry.ticket()));
         Self {
             entry,
             ids,
             now_ms: 0,
-            naive: collections::BTreeMap::new(),
+            model: collections::BTreeMap::new(),
             keys: collections::HashMap::new(),
             answered: collections::BTreeSet::new(),
-            waiting: Vec::new(),
+            waiting_calls: Vec::new(),
             log: Vec::new(),
             dispatches: Vec::new(),
             settled: collections::BTreeSet::new(),
@@ -201,9 +206,9 @@
                 let name = (team, id);
                 let submission = submission(name, &self.ids[id], content, tasks);
                 let payloads = submission.tasks.iter().map(|task| task.payload.clone());
-                self.naive.entry(name).or_insert_with(|| Naive {
+                self.model.entry(name).or_insert_with(|| Model {
                     payloads: payloads.collect(),
-                    ends: vec![None; tasks],
+                    outcomes: vec![None; tasks],
                 });
                 self.submit(name, submission)
             }
@@ -211,23 +216,23 @@
             Step::Outcome {
                 at,
                 succeeds,
-                is_of_earlier_life,
-            } => self.outcome(at, succeeds, is_of_earlier_life),
+                is_for_earlier_incarnation,
+            } => self.outcome(at, succeeds, is_for_earlier_incarnation),
             Step::Read => self.read(),
         }
     }
 
     fn submit(&mut self, name: Name, submission: api::Submission) -> Result<(), TestCaseError> {
-        let asked = submission.clone();
+        let request = submission.clone();
         let (reply, actions) = self
             .entry
             .submit(self.now_ms, &Self::team(name), submission);
         match reply {
-            calls::Reply::Claiming(_) => self.waiting.push((name, asked)),
-            calls::Reply::Open(key) => self.opened(name, key)?,
+            calls::Reply::Claiming(_) => self.waiting_calls.push((name, request)),
+            calls::Reply::Open(key) => self.check_key(name, key)?,
             calls::Reply::Answer(answer) => {
-                let payloads = asked.tasks.iter().map(|task| &task.payload);
-                let is_repeat = payloads.eq(&self.naive[&name].payloads);
+                let payloads = request.tasks.iter().map(|task| &task.payload);
+                let is_repeat = payloads.eq(&self.model[&name].payloads);
                 if is_repeat {
                     self.check(name, &answer)?;
                 } else {
@@ -235,37 +240,46 @@
                     prop_assert!(answer.tasks.is_empty());
                 }
             }
-            calls::Reply::Forward { .. } => prop_assert!(false, "there is no other entry"),
+            calls::Reply::Forward { .. } => {
+                prop_assert!(false, "forwarded though there is no other entry")
+            }
         }
         self.act(actions)
     }
 
-    /// A call waits under this key: nobody else's may have the same.
-    fn opened(&mut self, name: Name, key: jobs::Key) -> Result<(), TestCaseError> {
+    /// Checks that calls for different submissions wait under different keys.
+    fn check_key(&mut self, name: Name, key: jobs::Key) -> Result<(), TestCaseError> {
         let known = *self.keys.entry(key).or_insert(name);
-        prop_assert_eq!(known, name, "a caller waits for another's answer");
+        prop_assert_eq!(
+            known,
+            name,
+            "caller waits for the answer to another submission"
+        );
         Ok(())
     }
 
     fn check(&self, name: Name, answer: &api::Answer) -> Result<(), TestCaseError> {
-        let naive = &self.naive[&name];
-        prop_assert!(naive.is_over(), "answered before the end: {answer:?}");
+        let model = &self.model[&name];
+        prop_assert!(
+            model.has_ended(),
+            "answered before all tasks ended: {answer:?}"
+        );
         prop_assert_eq!(answer.submission.as_ref(), Some(&self.ids[name.1]));
         let outputs: Vec<_> = answer
             .tasks
             .iter()
             .map(|task| task.output.clone())
             .collect();
-        prop_assert_eq!(outputs, naive.outputs());
+        prop_assert_eq!(outputs, model.outputs());
         Ok(())
     }
 
     fn fetch(&mut self, name: Name) -> Result<(), TestCaseError> {
         let id = &self.ids[name.1];
         let reply = self.entry.fetch(self.now_ms, &Self::team(name), id);
-        let Some(naive) = self.naive.get(&name) else {
+        let Some(model) = self.model.get(&name) else {
             let calls::Reply::Answer(answer) = reply else {
-                prop_assert!(false, "{reply:?} of what was never submitted");
+                prop_assert!(false, "{reply:?} for an id without a submission");
                 return Ok(());
             };
             prop_assert_eq!(answer.code, codes::Code::UnknownSubmission);
@@ -274,12 +288,12 @@
         match reply {
             calls::Reply::Answer(answer) => self.check(name, &answer),
             calls::Reply::Open(key) => {
-                prop_assert!(!naive.is_over(), "no answer though all has ended");
-                self.opened(name, key)
+                prop_assert!(!model.has_ended(), "no answer though all tasks have ended");
+                self.check_key(name, key)
             }
             calls::Reply::Claiming(_) => Ok(()),
             calls::Reply::Forward { .. } => {
-                prop_assert!(false, "there is no other entry");
+                prop_assert!(false, "forwarded though there is no other entry");
                 Ok(())
             }
         }
@@ -289,17 +303,17 @@
         &mut self,
         at: usize,
         succeeds: bool,
-        is_of_earlier_life: bool,
+        is_for_earlier_incarnation: bool,
     ) -> Result<(), TestCaseError> {
         let Some(dispatch) = self.dispatches.get(at) else {
             return Ok(());
         };
         let payload = dispatch.payload.clone();
         let mut attempt = dispatch.attempt;
-        if is_of_earlier_life {
-            attempt.owner = ids::Incarnation(LIFE.0 - 1);
+        if is_for_earlier_incarnation {
+            attempt.owner = ids::Incarnation(INCARNATION.0 - 1);
         } else if self.settled.insert(at) {
-            self.note_end(&payload, succeeds);
+            self.record_outcome(&payload, succeeds);
         }
         let code = if succeeds {
             codes::Code::Complete
@@ -322,11 +336,11 @@
         self.act(actions)
     }
 
-    fn note_end(&mut self, payload: &str, succeeds: bool) {
-        for naive in self.naive.values_mut() {
-            let at = naive.payloads.iter().position(|one| one == payload);
+    fn record_outcome(&mut self, payload: &str, succeeds: bool) {
+        for model in self.model.values_mut() {
+            let at = model.payloads.iter().position(|other| other == payload);
             if let Some(at) = at {
-                naive.ends[at] = Some(succeeds);
+                model.outcomes[at] = Some(succeeds);
             }
         }
     }
@@ -348,12 +362,12 @@
             match action {
                 entry::core::Action::Dispatch { dispatch, .. } => self.dispatches.push(*dispatch),
                 entry::core::Action::AppendClaims(record) => self.log.push(record),
-                entry::core::Action::ClaimSettled(claimed) => self.call_again(&claimed)?,
+                entry::core::Action::ClaimSettled(claimed) => self.repeat_calls(&claimed)?,
                 entry::core::Action::Answer { submission, answer } => {
                     let name = self.keys.get(&submission).copied();
-                    let name = name.expect("somebody was told this key");
+                    let name = name.expect("a call was given this key");
                     self.check(name, &answer)?;
-                    prop_assert!(self.answered.insert(name), "answered twice");
+                    prop_assert!(self.answered.insert(name), "submission answered twice");
                 }
                 entry::core::Action::Fence { .. } => {}
             }
@@ -361,38 +375,40 @@
         Ok(())
     }
 
-    fn call_again(&mut self, claimed: &claims::ScopedId) -> Result<(), TestCaseError> {
-        let waiting = std::mem::take(&mut self.waiting);
-        let is_of = |name: Name| {
+    fn repeat_calls(&mut self, claimed: &claims::ScopedId) -> Result<(), TestCaseError> {
+        let waiting_calls = std::mem::take(&mut self.waiting_calls);
+        let is_claimed = |name: Name| {
             let is_team = Self::team(name) == claimed.0;
             is_team && self.ids[name.1].to_string() == claimed.1
         };
-        let (again, others) = waiting.into_iter().partition(|(name, _)| is_of(*name));
-        self.waiting = others;
-        let again: Vec<(Name, api::Submission)> = again;
-        for (name, submission) in again {
+        let (ready, others) = waiting_calls
+            .into_iter()
+            .partition(|(name, _)| is_claimed(*name));
+        self.waiting_calls = others;
+        let ready: Vec<(Name, api::Submission)> = ready;
+        for (name, submission) in ready {
             self.submit(name, submission)?;
         }
         Ok(())
     }
 
-    /// What has ended was answered, and nothing else.
+    /// Checks that exactly the ended submissions were answered.
     fn check_answered(&self) -> Result<(), TestCaseError> {
-        let over = self.naive.iter().filter(|(_, naive)| naive.is_over());
-        let over: collections::BTreeSet<_> = over.map(|(name, _)| *name).collect();
-        prop_assert_eq!(&self.answered, &over);
+        let ended = self.model.iter().filter(|(_, model)| model.has_ended());
+        let ended: collections::BTreeSet<_> = ended.map(|(name, _)| *name).collect();
+        prop_assert_eq!(&self.answered, &ended);
         Ok(())
     }
 }
 
-// Three schools use the same ids for different jobs at the same time; outcomes come crossed,
-// late, twice, and one is meant for an earlier life of the entry. What a caller would see
-// if this went wrong: another school's answer, another task's output, or part of its own.
+// Three teams use the same ids for different jobs at the same time. Outcomes arrive out of
+// order, late and repeated, and some are addressed to an earlier incarnation of the entry.
+// Guards against answers of another team, outputs of another task and partial answers.
 #[test]
-fn every_caller_gets_the_whole_answer_to_its_own_request() {
+fn callers_get_complete_answers_to_their_own_submissions() {
     let mut runner = fixtures::fixed_runner(CASES);
 
-    let verdict = runner.run(&collection::vec(any_step(), 1..120), |steps| {
+    let result = runner.run(&collection::vec(any_step(), 1..120), |steps| {
         let mut world = World::new();
         for step in steps {
             world.step(step)?;
@@ -401,5 +417,5 @@
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
--- a/tests/unit/dispatching/world.rs
+++ b/tests/unit/dispatching/world.rs
@@ -384,12 +384,10 @@
                 });
             }
             Message::Heartbeat(at, heartbeat) => self.receive_heartbeat(at, &heartbeat),
-            Message::HeartbeatReply(receiver, sent_ms, reply) => {
-                self.with_entry(receiver, |entry| {
-                    entry.core.heartbeat_answered(now_ms, sent_ms, &reply);
-                    Vec::new()
-                })
-            }
+            Message::HeartbeatReply(dest, sent_ms, reply) => self.with_entry(dest, |entry| {
+                entry.core.heartbeat_answered(now_ms, sent_ms, &reply);
+                Vec::new()
+            }),
             Message::Call(forwarded) => self.call_arrives(&forwarded),
             Message::CallReply(forwarded, answer) => self.call_answered(&forwarded, answer),
             Message::CallTimedOut(forwarded) => self.call_timed_out(*forwarded),
@@ -439,7 +437,7 @@
             Message::DispatchFailed(attempt, _) => self.entry_running_at_ms(attempt.owner),
             Message::FenceReply(fence, _) => self.entry_running_at_ms(fence.attempts[0].owner),
             Message::Heartbeat(at, _) => self.entries[*at].suspended_until_ms,
-            Message::HeartbeatReply(receiver, ..) => self.entry_running_at_ms(*receiver),
+            Message::HeartbeatReply(dest, ..) => self.entry_running_at_ms(*dest),
             Message::Call(forwarded) => self.entries[forwarded.to_entry].suspended_until_ms,
             Message::CallReply(forwarded, _) | Message::CallTimedOut(forwarded) => {
                 self.entry_running_at_ms(forwarded.from)
--- a/tests/unit/leaving_runners.rs
+++ b/tests/unit/leaving_runners.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave, as an entry hears of it, against a naive rule.
+//! Dispatches of an entry while runners leave, checked against a simple model.
 
 use std::collections;
 use std::sync;
@@ -26,26 +26,26 @@
 const SLOTS: u32 = 2;
 const HEARTBEAT_MS: u32 = 500;
 const DEAD_AFTER_MS: u32 = 2_500;
-/// Two heartbeats are missed: nothing new goes there.
+/// Two missed heartbeats: the runner gets no new tasks.
 const SILENT_AFTER_MS: u32 = HEARTBEAT_MS * 5 / 2;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Submit,
-    /// A runner sends a heartbeat, which is on its way from then on.
-    Beat(usize),
-    /// A dispatch arrives, whichever, and its answer is on its way from then on.
-    Arrive(usize),
-    /// A message comes to the entry, whichever, and perhaps once more later.
+    /// A runner sends a heartbeat, which stays in transit until delivered.
+    SendHeartbeat(usize),
+    /// Any dispatch arrives at its runner, and the reply is in transit.
+    DeliverDispatch(usize),
+    /// Any message arrives at the entry, and stays in transit unless `is_last`.
     Deliver {
         at: usize,
         is_last: bool,
     },
     /// A runner is told to stop.
     Leave(usize),
-    /// A runner's next life begins.
+    /// A runner is replaced by its next incarnation.
     Replace(usize),
-    Pass {
+    Wait {
         ms: u64,
     },
 }
@@ -54,34 +54,34 @@
     let runner = 0..RUNNERS;
     let step = prop_oneof![
         8 => Just(Step::Submit),
-        8 => runner.clone().prop_map(Step::Beat),
-        6 => (0_usize..4).prop_map(Step::Arrive),
+        8 => runner.clone().prop_map(Step::SendHeartbeat),
+        6 => (0_usize..4).prop_map(Step::DeliverDispatch),
         14 => (0_usize..4, any::<bool>()).prop_map(|(at, is_last)| Step::Deliver { at, is_last }),
         2 => runner.clone().prop_map(Step::Leave),
         1 => runner.prop_map(Step::Replace),
-        4 => (1_u64..300).prop_map(|ms| Step::Pass { ms }),
+        4 => (1_u64..300).prop_map(|ms| Step::Wait { ms }),
     ];
     collection::vec(step, 1..150)
 }
 
-/// One life of one runner.
-type Life = (usize, u64);
+/// One incarnation of one runner.
+type RunnerKey = (usize, u64);
 
 #[derive(Clone, Debug)]
 enum Message {
     Heartbeat {
-        of: Life,
+        key: RunnerKey,
         heartbeat: Box<wire::Heartbeat>,
     },
     Reply {
-        of: Life,
+        key: RunnerKey,
         reply: Box<wire::DispatchReply>,
     },
 }
 
 #[derive(Clone, Copy)]
 struct Actual {
-    life: u64,
+    incarnation_number: u64,
     is_leaving: bool,
 }
 
@@ -90,13 +90,13 @@
     now_ms: u64,
     actual: [Actual; RUNNERS],
     messages: Vec<Message>,
-    arriving: Vec<(Life, ids::Attempt)>,
+    dispatches: Vec<(RunnerKey, ids::Attempt)>,
     sequence: u64,
-    /// What the naive rule knows: who was heard to be leaving, when each was heard last,
-    /// and what is out there.
-    gone: collections::BTreeSet<Life>,
-    heard: collections::BTreeMap<Life, u64>,
-    in_flight: collections::BTreeMap<u64, Life>,
+    /// The model: incarnations known to leave, when each was last seen, and the attempts in
+    /// flight.
+    known_leaving: collections::BTreeSet<RunnerKey>,
+    last_seen_ms: collections::BTreeMap<RunnerKey, u64>,
+    in_flight: collections::BTreeMap<u64, RunnerKey>,
     waiting: usize,
 }
 
@@ -104,11 +104,11 @@
     smol_str::format_smolstr!("{at}")
 }
 
-fn peer(role: wire::Role, name: SmolStr, life: u64) -> wire::Peer {
+fn peer(role: wire::Role, name: SmolStr, incarnation_number: u64) -> wire::Peer {
     wire::Peer {
         role,
         name: name.clone(),
-        incarnation: ids::Incarnation(life),
+        incarnation: ids::Incarnation(incarnation_number),
         zone: SmolStr::new_static("caxias"),
         rack: name.clone(),
         address: name,
@@ -131,14 +131,14 @@
             entry: entry::core::Core::new(me, sync::Arc::new(settings), 0, 1),
             now_ms: 0,
             actual: [Actual {
-                life: 1,
+                incarnation_number: 1,
                 is_leaving: false,
             }; RUNNERS],
             messages: Vec::new(),
-            arriving: Vec::new(),
+            dispatches: Vec::new(),
             sequence: 0,
-            gone: collections::BTreeSet::new(),
-            heard: collections::BTreeMap::new(),
+            known_leaving: collections::BTreeSet::new(),
+            last_seen_ms: collections::BTreeMap::new(),
             in_flight: collections::BTreeMap::new(),
             waiting: 0,
         }
@@ -157,15 +157,15 @@
     fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
             Step::Submit => self.submit()?,
-            Step::Beat(at) => self.beat(at),
-            Step::Arrive(at) => self.arrive(at),
+            Step::SendHeartbeat(at) => self.send_heartbeat(at),
+            Step::DeliverDispatch(at) => self.deliver_dispatch(at),
             Step::Deliver { at, is_last } => self.deliver(at, is_last)?,
             Step::Leave(at) => self.actual[at].is_leaving = true,
             Step::Replace(at) => {
-                self.actual[at].life += 1;
+                self.actual[at].incarnation_number += 1;
                 self.actual[at].is_leaving = false;
             }
-            Step::Pass { ms } => self.now_ms += ms,
+            Step::Wait { ms } => self.now_ms += ms,
         }
         self.tick()
     }
@@ -185,27 +185,31 @@
         self.act(actions)
     }
 
-    fn beat(&mut self, at: usize) {
-        let Actual { life, is_leaving } = self.actual[at];
+    fn send_heartbeat(&mut self, at: usize) {
+        let Actual {
+            incarnation_number,
+            is_leaving,
+        } = self.actual[at];
         let heartbeat = wire::Heartbeat {
             leaving: is_leaving,
             load: Some(self.load()),
-            ..wire::Heartbeat::new(peer(wire::Role::Runner, name(at), life))
+            ..wire::Heartbeat::new(peer(wire::Role::Runner, name(at), incarnation_number))
         };
         let heartbeat = Box::new(heartbeat);
-        let of = (at, life);
-        self.messages.push(Message::Heartbeat { of, heartbeat });
+        let key = (at, incarnation_number);
+        self.messages.push(Message::Heartbeat { key, heartbeat });
     }
 
-    /// A runner that is there takes a task in and ends it, or refuses it as leaving; of
-    /// what was meant for an earlier life nothing is heard.
-    fn arrive(&mut self, at: usize) {
-        if at >= self.arriving.len() {
+    /// Delivers a dispatch: the runner completes the task, or refuses it while leaving.
+    ///
+    /// A dispatch to an earlier incarnation gets no reply.
+    fn deliver_dispatch(&mut self, at: usize) {
+        if at >= self.dispatches.len() {
             return;
         }
-        let (of, attempt) = self.arriving.remove(at);
-        let actual = self.actual[of.0];
-        if actual.life != of.1 {
+        let (key, attempt) = self.dispatches.remove(at);
+        let actual = self.actual[key.0];
+        if actual.incarnation_number != key.1 {
             return;
         }
         let outcome = if actual.is_leaving {
@@ -226,7 +230,7 @@
             outcome,
             load: self.load(),
         });
-        self.messages.push(Message::Reply { of, reply });
+        self.messages.push(Message::Reply { key, reply });
     }
 
     fn deliver(&mut self, at: usize, is_last: bool) -> Result<(), TestCaseError> {
@@ -237,45 +241,49 @@
             self.messages.remove(at);
         }
         match message {
-            Message::Heartbeat { of, heartbeat } => {
-                self.note_heartbeat(of, heartbeat.leaving);
+            Message::Heartbeat { key, heartbeat } => {
+                self.record_heartbeat_in_model(key, heartbeat.leaving);
                 let (_, actions) = self.entry.heartbeat(self.now_ms, &heartbeat);
                 self.act(actions)
             }
-            Message::Reply { of, reply } => {
-                self.note_reply(of, &reply);
+            Message::Reply { key, reply } => {
+                self.record_reply_in_model(key, &reply);
                 let actions = self.entry.dispatch_answered(self.now_ms, *reply);
                 self.act(actions)
             }
         }
     }
 
-    fn note_heartbeat(&mut self, of: Life, is_leaving: bool) {
+    fn record_heartbeat_in_model(&mut self, key: RunnerKey, is_leaving: bool) {
         if is_leaving {
-            self.gone.insert(of);
+            self.known_leaving.insert(key);
         }
-        if self.latest(of.0).is_some_and(|latest| latest > of.1) {
+        if self
+            .latest_incarnation(key.0)
+            .is_some_and(|latest_incarnation| latest_incarnation > key.1)
+        {
             return;
         }
-        self.heard.insert(of, self.now_ms);
-        self.in_flight.retain(|_, at| at.0 != of.0 || at.1 == of.1);
+        self.last_seen_ms.insert(key, self.now_ms);
+        self.in_flight
+            .retain(|_, at| at.0 != key.0 || at.1 == key.1);
     }
 
-    fn note_reply(&mut self, of: Life, reply: &wire::DispatchReply) {
+    fn record_reply_in_model(&mut self, key: RunnerKey, reply: &wire::DispatchReply) {
         if self.in_flight.remove(&reply.attempt.number).is_none() {
             return;
         }
-        self.heard.insert(of, self.now_ms);
+        self.last_seen_ms.insert(key, self.now_ms);
         if matches!(reply.outcome, wire::Outcome::NotStarted { .. }) {
-            self.gone.insert(of);
+            self.known_leaving.insert(key);
             self.waiting += 1;
         }
     }
 
-    /// The latest life heard of.
-    fn latest(&self, at: usize) -> Option<u64> {
-        let lives = self.heard.keys().filter(|of| of.0 == at);
-        lives.map(|of| of.1).max()
+    /// Returns the latest incarnation seen of a runner.
+    fn latest_incarnation(&self, at: usize) -> Option<u64> {
+        let incarnations = self.last_seen_ms.keys().filter(|key| key.0 == at);
+        incarnations.map(|key| key.1).max()
     }
 
     fn act(&mut self, actions: Vec<entry::core::Action>) -> Result<(), TestCaseError> {
@@ -283,59 +291,69 @@
             let entry::core::Action::Dispatch { address, dispatch } = action else {
                 continue;
             };
-            let at: usize = address.parse().expect("an index");
-            let of = (at, dispatch.incarnation.0);
-            prop_assert!(!self.gone.contains(&of), "new work for one that leaves");
-            prop_assert!(self.latest(at) == Some(of.1), "new work for a past life");
-            prop_assert!(!self.is_silent(of), "new work for a silent one");
-            self.in_flight.insert(dispatch.attempt.number, of);
-            self.arriving.push((of, dispatch.attempt));
+            let at: usize = address.parse().expect("address is a runner index");
+            let key = (at, dispatch.incarnation.0);
+            prop_assert!(
+                !self.known_leaving.contains(&key),
+                "dispatch to a leaving runner"
+            );
+            prop_assert!(
+                self.latest_incarnation(at) == Some(key.1),
+                "dispatch to a past incarnation"
+            );
+            prop_assert!(!self.is_silent(key), "dispatch to a silent runner");
+            self.in_flight.insert(dispatch.attempt.number, key);
+            self.dispatches.push((key, dispatch.attempt));
             self.waiting -= 1;
         }
         Ok(())
     }
 
-    fn is_silent(&self, of: Life) -> bool {
-        self.heard[&of] + u64::from(SILENT_AFTER_MS) <= self.now_ms
+    fn is_silent(&self, key: RunnerKey) -> bool {
+        self.last_seen_ms[&key] + u64::from(SILENT_AFTER_MS) <= self.now_ms
     }
 
     fn tick(&mut self) -> Result<(), TestCaseError> {
-        let heard = &self.heard;
+        let last_seen_ms = &self.last_seen_ms;
         let now_ms = self.now_ms;
         self.in_flight
-            .retain(|_, of| heard[of] + u64::from(DEAD_AFTER_MS) > now_ms);
+            .retain(|_, key| last_seen_ms[key] + u64::from(DEAD_AFTER_MS) > now_ms);
         let actions = self.entry.tick(now_ms);
         self.act(actions)?;
         let free = (0..RUNNERS).find(|at| self.is_free(*at));
         prop_assert!(
             self.waiting == 0 || free.is_none(),
-            "work waits though {free:?} is free"
+            "tasks are queued though runner {free:?} has free slots"
         );
         Ok(())
     }
 
     fn is_free(&self, at: usize) -> bool {
-        let Some(life) = self.latest(at) else {
+        let Some(incarnation_number) = self.latest_incarnation(at) else {
             return false;
         };
-        let of = (at, life);
-        let taken = self.in_flight.values().filter(|on| **on == of).count();
-        taken < SLOTS as usize && !self.gone.contains(&of) && !self.is_silent(of)
+        let key = (at, incarnation_number);
+        let in_use = self
+            .in_flight
+            .values()
+            .filter(|used_by| **used_by == key)
+            .count();
+        in_use < SLOTS as usize && !self.known_leaving.contains(&key) && !self.is_silent(key)
     }
 }
 
-// Runners are told to stop and are replaced by new lives. Heartbeats and answers come late,
-// crossed and twice: one sent before the stop after one that told of it, a refusal from a
-// past life. Once an entry has heard that a life leaves, by either, that life gets nothing
-// new, and its successor and all others go on getting work as soon as they have room.
+// Runners are told to stop and are replaced by new incarnations. Heartbeats and replies come
+// late, out of order and repeated, for example one sent before the stop after one that
+// announced it, or a refusal from a past incarnation. An incarnation known to leave gets no
+// new tasks; its successor and all other runners get them as soon as they have free slots.
 #[test]
-fn who_was_heard_to_leave_gets_no_new_work_and_others_do() {
+fn only_runners_not_known_to_leave_get_new_tasks() {
     let mut runner = fixtures::fixed_runner(CASES);
 
-    let verdict = runner.run(&steps(), |steps| {
+    let result = runner.run(&steps(), |steps| {
         let mut world = World::new();
         steps.into_iter().try_for_each(|step| world.step(step))
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
--- a/tests/unit/slots.rs
+++ b/tests/unit/slots.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the runners' slots.
+//! An entry's view of the runners' slots, racks and zones.
 
 use bulrushtiller::ids;
 use bulrushtiller::membership;
@@ -22,11 +22,11 @@
     }
 }
 
-fn heartbeat(name: &str, rack: &str, life: u64, load: wire::Load) -> wire::Heartbeat {
+fn heartbeat(name: &str, rack: &str, number: u64, load: wire::Load) -> wire::Heartbeat {
     let sender = wire::Peer {
         role: wire::Role::Runner,
         name: SmolStr::new(name),
-        incarnation: ids::Incarnation(life),
+        incarnation: ids::Incarnation(number),
         zone: SmolStr::new("bento"),
         rack: SmolStr::new(rack),
         address: SmolStr::new("192.0.2.1:1"),
@@ -37,36 +37,36 @@
     }
 }
 
-fn known(name: &str, rack: &str) -> membership::Members {
+fn members_with_runner(name: &str, rack: &str) -> membership::Members {
     let mut members = membership::Members::default();
     members.record_runner(0, &heartbeat(name, rack, 1, load(1, 0, 0)));
     members
 }
 
-fn only(members: &mut membership::Members) -> &mut membership::Runner {
+fn only_runner(members: &mut membership::Members) -> &mut membership::Runner {
     let key = members.runners().next().map(|(key, _)| key).unwrap();
     members.runner_mut(key).unwrap()
 }
 
-/// The entry's own part of a load is replaced by what it has in flight: told in any
-/// order, the slots free are those that the others leave, less the own.
+// Loads arrive in any order. The entry's own share in a load lags behind its dispatches, so
+// free slots are the slots not used by other entries minus the attempts in flight here.
 #[test]
-fn free_slots_are_what_others_leave_less_the_own_in_flight() {
+fn free_slots_exclude_other_entries_and_own_in_flight() {
     let mut runner = fixtures::fixed_runner(CASES);
-    let told = (1_u64..20, 0_u32..9, 0_u32..9);
-    let input = (collection::vec(told, 1..12), 0_u32..9);
+    let loads = (1_u64..20, 0_u32..9, 0_u32..9);
+    let input = (collection::vec(loads, 1..12), 0_u32..9);
 
-    let verdict = runner.run(&input, |(told, sent)| {
-        let mut members = known("r", "a");
-        let runner = only(&mut members);
-        for (sequence, busy, mine) in &told {
+    let result = runner.run(&input, |(loads, sent)| {
+        let mut members = members_with_runner("r", "a");
+        let runner = only_runner(&mut members);
+        for (sequence, busy, mine) in &loads {
             runner.update_load(load(*sequence, *busy, *mine));
         }
         for _ in 0..sent {
             runner.add_in_flight(&wire::Resources::default());
         }
-        // Naive: the first told of those with the greatest sequence number.
-        let later = told.iter().filter(|(sequence, _, _)| *sequence > 1);
+        // Model: of the loads with the highest sequence number, the first one counts.
+        let later = loads.iter().filter(|(sequence, _, _)| *sequence > 1);
         let newest = later.rev().max_by_key(|(sequence, _, _)| *sequence);
         let (_, busy, mine) = newest.copied().unwrap_or((1, 0, 0));
         let others = busy.saturating_sub(mine);
@@ -75,14 +75,14 @@
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
 
 #[rstest]
 #[case::same_rack("a", true)]
 #[case::other_rack("b", false)]
-fn runners_of_one_rack_share_its_number(#[case] rack: &str, #[case] is_same: bool) {
-    let mut members = known("one", "a");
+fn runners_in_one_rack_share_its_key(#[case] rack: &str, #[case] is_same: bool) {
+    let mut members = members_with_runner("one", "a");
 
     members.record_runner(0, &heartbeat("two", rack, 1, load(1, 0, 0)));
 
@@ -91,11 +91,11 @@
 }
 
 #[test]
-fn closing_a_zone_closes_its_runners_and_no_others() {
-    let mut members = known("one", "a");
-    let mut far = heartbeat("two", "a", 1, load(1, 0, 0));
-    far.sender.zone = SmolStr::new("caxias");
-    members.record_runner(0, &far);
+fn closing_a_zone_closes_only_its_runners() {
+    let mut members = members_with_runner("one", "a");
+    let mut other_zone = heartbeat("two", "a", 1, load(1, 0, 0));
+    other_zone.sender.zone = SmolStr::new("caxias");
+    members.record_runner(0, &other_zone);
 
     members.back_off_zone("bento", 700);
 
--- a/tests/unit/stops.rs
+++ b/tests/unit/stops.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry and of a runner, against naive lists.
+//! Planned stops of an entry and of a runner, checked against simple models.
 
 mod entry;
 mod runner;
--- a/tests/unit/stops/entry.rs
+++ b/tests/unit/stops/entry.rs
@@ -1,4 +1,4 @@
-//! An entry that is told to stop.
+//! Planned stop of an entry.
 
 use std::collections;
 
@@ -20,42 +20,42 @@
 use crate::settings::fixtures;
 use crate::stops;
 
-/// What happens to an entry.
+/// An event at the entry.
 #[derive(Clone, Copy, Debug)]
-enum EntryStep {
-    /// A caller submits so many tasks.
+enum Step {
+    /// A caller submits a job with this many tasks.
     Submit(usize),
-    /// A caller repeats a submission.
+    /// A caller repeats an earlier submission.
     Repeat(usize),
-    /// One of the tasks that are handed out ends.
+    /// One of the dispatched tasks ends.
     End(usize),
     Tick,
     Leave,
 }
 
-fn entry_steps() -> impl Strategy<Value = Vec<EntryStep>> {
+fn any_steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        6 => (1_usize..4).prop_map(EntryStep::Submit),
-        2 => (0_usize..10).prop_map(EntryStep::Repeat),
-        6 => (0_usize..stops::SLOTS).prop_map(EntryStep::End),
-        4 => Just(EntryStep::Tick),
-        1 => Just(EntryStep::Leave),
+        6 => (1_usize..4).prop_map(Step::Submit),
+        2 => (0_usize..10).prop_map(Step::Repeat),
+        6 => (0_usize..stops::SLOTS).prop_map(Step::End),
+        4 => Just(Step::Tick),
+        1 => Just(Step::Leave),
     ];
     collection::vec(step, 1..60)
 }
 
-/// A submission that was taken in: its tasks that have not ended yet.
-struct Taken {
+/// An accepted submission and the number of its tasks that have not ended yet.
+struct Accepted {
     id: ids::SubmissionId,
     tasks: usize,
-    left: usize,
+    unfinished: usize,
 }
 
-struct EntryWorld {
+struct World {
     core: entry::core::Core,
     now_ms: u64,
-    taken: Vec<Taken>,
-    handed_out: Vec<wire::Dispatch>,
+    accepted: Vec<Accepted>,
+    dispatched: Vec<wire::Dispatch>,
     answered: collections::BTreeMap<SmolStr, api::Answer>,
     is_leaving: bool,
 }
@@ -70,14 +70,14 @@
     }
 }
 
-impl EntryWorld {
+impl World {
     fn new() -> Self {
         let me = stops::peer(wire::Role::Entry, "entry", stops::ENTRY_INCARNATION);
         let mut world = Self {
             core: entry::core::Core::new(me, stops::settings(), 0, 1),
             now_ms: 0,
-            taken: Vec::new(),
-            handed_out: Vec::new(),
+            accepted: Vec::new(),
+            dispatched: Vec::new(),
             answered: collections::BTreeMap::new(),
             is_leaving: false,
         };
@@ -112,24 +112,29 @@
     fn act(&mut self, actions: Vec<entry::core::Action>) {
         for action in actions {
             match action {
-                entry::core::Action::Dispatch { dispatch, .. } => self.handed_out.push(*dispatch),
+                entry::core::Action::Dispatch { dispatch, .. } => self.dispatched.push(*dispatch),
                 entry::core::Action::Answer { answer, .. } => {
-                    let id = SmolStr::from(answer.submission.clone().expect("an id"));
-                    let before = self.answered.insert(id, *answer);
-                    assert_eq!(before, None, "two last words");
+                    let id = SmolStr::from(
+                        answer
+                            .submission
+                            .clone()
+                            .expect("answer has a submission id"),
+                    );
+                    let previous = self.answered.insert(id, *answer);
+                    assert_eq!(previous, None, "submission answered twice");
                 }
                 _ => {}
             }
         }
     }
 
-    fn step(&mut self, step: EntryStep) -> Result<(), TestCaseError> {
+    fn step(&mut self, step: Step) -> Result<(), TestCaseError> {
         match step {
-            EntryStep::Submit(tasks) => self.submit(tasks)?,
-            EntryStep::Repeat(at) => self.repeat(at)?,
-            EntryStep::End(at) => self.end(at),
-            EntryStep::Tick => self.tick(),
-            EntryStep::Leave => {
+            Step::Submit(tasks) => self.submit(tasks)?,
+            Step::Repeat(position) => self.repeat(position)?,
+            Step::End(position) => self.end(position),
+            Step::Tick => self.tick(),
+            Step::Leave => {
                 self.core.leave();
                 self.is_leaving = true;
             }
@@ -144,12 +149,16 @@
             .submit(self.now_ms, &stops::TEAM, submission(&id, tasks));
         match reply {
             calls::Reply::Open(_) => {
-                let left = tasks;
-                self.taken.push(Taken { id, tasks, left });
-                prop_assert!(!self.is_leaving, "taken in while it stops");
+                let unfinished = tasks;
+                self.accepted.push(Accepted {
+                    id,
+                    tasks,
+                    unfinished,
+                });
+                prop_assert!(!self.is_leaving, "leaving entry accepted a submission");
             }
             calls::Reply::Answer(answer) => {
-                prop_assert!(self.is_leaving, "refused though it does not stop");
+                prop_assert!(self.is_leaving, "running entry refused a submission");
                 prop_assert_eq!(answer.code, codes::Code::Leaving);
                 prop_assert!(answer.is_final);
             }
@@ -159,15 +168,20 @@
         Ok(())
     }
 
-    /// A repeat is served from what is known, also while the entry stops.
-    fn repeat(&mut self, at: usize) -> Result<(), TestCaseError> {
-        let Some(Taken { id, tasks, left }) = self.taken.get(at) else {
+    /// Repeats a submission; the entry answers from its state, also while it is leaving.
+    fn repeat(&mut self, position: usize) -> Result<(), TestCaseError> {
+        let Some(Accepted {
+            id,
+            tasks,
+            unfinished,
+        }) = self.accepted.get(position)
+        else {
             return Ok(());
         };
         let repeated = submission(id, *tasks);
         let (reply, actions) = self.core.submit(self.now_ms, &stops::TEAM, repeated);
         match reply {
-            calls::Reply::Open(_) => prop_assert!(*left > 0),
+            calls::Reply::Open(_) => prop_assert!(*unfinished > 0),
             calls::Reply::Answer(answer) => {
                 prop_assert_eq!(
                     Some(&*answer),
@@ -180,14 +194,17 @@
         Ok(())
     }
 
-    fn end(&mut self, at: usize) {
-        if at >= self.handed_out.len() {
+    fn end(&mut self, position: usize) {
+        if position >= self.dispatched.len() {
             return;
         }
-        let dispatch = self.handed_out.remove(at);
-        let is_of = |taken: &&mut Taken| SmolStr::from(taken.id.clone()) == dispatch.submission;
-        let taken = self.taken.iter_mut().find(is_of);
-        taken.expect("only what was taken in is handed out").left -= 1;
+        let dispatch = self.dispatched.remove(position);
+        let is_same_submission =
+            |accepted: &&mut Accepted| SmolStr::from(accepted.id.clone()) == dispatch.submission;
+        let accepted = self.accepted.iter_mut().find(is_same_submission);
+        accepted
+            .expect("dispatched task belongs to an accepted submission")
+            .unfinished -= 1;
         let reply = wire::DispatchReply {
             version: wire::VERSION,
             attempt: dispatch.attempt,
@@ -199,75 +216,98 @@
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
-        let over = self.taken.iter().filter(|taken| taken.left == 0);
-        let over: collections::BTreeSet<_> = over.map(|taken| taken.id.to_string()).collect();
+        let finished = self
+            .accepted
+            .iter()
+            .filter(|accepted| accepted.unfinished == 0);
+        let finished: collections::BTreeSet<_> =
+            finished.map(|accepted| accepted.id.to_string()).collect();
         let answered = self.answered.iter();
         let is_complete = |answer: &api::Answer| answer.code == codes::Code::Complete;
         let complete = answered.filter(|(_, answer)| is_complete(answer));
         let complete: collections::BTreeSet<_> = complete.map(|(id, _)| id.to_string()).collect();
-        prop_assert_eq!(complete, over);
-        let open = self.taken.iter().filter(|taken| taken.left > 0).count();
-        prop_assert_eq!(self.core.open(), open, "what it waits for before it ends");
+        prop_assert_eq!(complete, finished);
+        let open = self
+            .accepted
+            .iter()
+            .filter(|accepted| accepted.unfinished > 0)
+            .count();
+        prop_assert_eq!(
+            self.core.open(),
+            open,
+            "open submissions that delay the stop"
+        );
         Ok(())
     }
 }
 
-// An entry is told to stop at any moment, with tasks handed out and others that wait in
-// its queue. Every job that it took in comes back complete, also those whose tasks had not
-// been handed out; whoever comes later is told "not run", and a repeat gets its answer.
+// An entry is told to stop at any moment, with dispatched and queued tasks. Every accepted
+// job completes, including tasks still queued at that moment. Later submissions are refused
+// as not run, and repeats get the answer of the first submission.
 #[test]
-fn stopping_entry_brings_all_that_it_took_in_to_an_end() {
+fn leaving_entry_completes_all_accepted_jobs() {
     let mut cases = fixtures::fixed_runner(stops::CASES);
 
-    let verdict = cases.run(&entry_steps(), |steps| {
-        let mut world = EntryWorld::new();
+    let result = cases.run(&any_steps(), |steps| {
+        let mut world = World::new();
         for step in steps {
             world.step(step)?;
         }
-        world.step(EntryStep::Leave)?;
-        while !world.handed_out.is_empty() {
-            world.step(EntryStep::End(0))?;
-            world.step(EntryStep::Tick)?;
+        world.step(Step::Leave)?;
+        while !world.dispatched.is_empty() {
+            world.step(Step::End(0))?;
+            world.step(Step::Tick)?;
         }
-        prop_assert_eq!(world.core.open(), 0, "something was left behind");
+        prop_assert_eq!(
+            world.core.open(),
+            0,
+            "submissions still open after all tasks ended"
+        );
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
 
-// An entry that stops is told a second time, or its deadline is over. Every open job gets
-// its last answer at once: what was handed out may have run, and the rest did not.
+// A leaving entry is told to stop again, or its drain time ends. Every open job is answered
+// at once: dispatched tasks as may have run, queued ones as not run.
 #[test]
-fn abandoned_entry_tells_what_may_have_run() {
+fn abandoned_entry_answers_dispatched_tasks_as_may_have_run() {
     let mut cases = fixtures::fixed_runner(stops::CASES);
 
-    let verdict = cases.run(&entry_steps(), |steps| {
-        let mut world = EntryWorld::new();
+    let result = cases.run(&any_steps(), |steps| {
+        let mut world = World::new();
         for step in steps {
             world.step(step)?;
         }
-        let handed_out: collections::BTreeSet<_> = world
-            .handed_out
+        let dispatched: collections::BTreeSet<_> = world
+            .dispatched
             .iter()
             .map(|dispatch| (dispatch.submission.to_string(), dispatch.index))
             .collect();
         let actions = world.core.abandon(world.now_ms);
         world.act(actions);
-        for taken in world.taken.iter().filter(|taken| taken.left > 0) {
-            let id = taken.id.to_string();
+        for accepted in world
+            .accepted
+            .iter()
+            .filter(|accepted| accepted.unfinished > 0)
+        {
+            let id = accepted.id.to_string();
             let answer = &world.answered[id.as_str()];
             prop_assert!(answer.is_final);
             let fates: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
-            let out = handed_out.iter().filter(|(of, _)| *of == id).count();
-            let count = |fate| fates.iter().filter(|one| **one == fate).count();
-            prop_assert_eq!(count(api::Fate::MayHaveRun), out);
-            prop_assert_eq!(count(api::Fate::Ran), taken.tasks - taken.left);
-            prop_assert_eq!(count(api::Fate::NotRun), taken.left - out);
+            let dispatched_tasks = dispatched.iter().filter(|(of, _)| *of == id).count();
+            let count = |fate| fates.iter().filter(|other| **other == fate).count();
+            prop_assert_eq!(count(api::Fate::MayHaveRun), dispatched_tasks);
+            prop_assert_eq!(count(api::Fate::Ran), accepted.tasks - accepted.unfinished);
+            prop_assert_eq!(
+                count(api::Fate::NotRun),
+                accepted.unfinished - dispatched_tasks
+            );
         }
         prop_assert_eq!(world.core.open(), 0);
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
