--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -353,7 +353,7 @@
     pub fn heartbeat_answered(
         &mut self,
         now_ms: u64,
-        asked_ms: u64,
+        request_sent_ms: u64,
         reply: &wire::HeartbeatReply,
     ) -> bool {
         if reply.sender.role == wire::Role::Entry {
@@ -371,7 +371,7 @@
         }
         let is_foreign = reply.sender.zone != self.me.zone;
         self.freshness
-            .hear_process(asked_ms, is_foreign, reply.evidence);
+            .hear_process(request_sent_ms, is_foreign, reply.evidence);
         false
     }
 
@@ -412,7 +412,7 @@
         }
     }
 
-    pub(crate) const fn attempt(&mut self) -> ids::Attempt {
+    pub(crate) const fn new_attempt(&mut self) -> ids::Attempt {
         let number = self.next_attempt;
         self.next_attempt += 1;
         ids::Attempt {
--- a/src/entry/scheduling.rs
+++ b/src/entry/scheduling.rs
@@ -239,7 +239,7 @@
         key: membership::RunnerKey,
         need: wire::Resources,
     ) -> Option<core::Action> {
-        let attempt = self.attempt();
+        let attempt = self.new_attempt();
         let open = self.jobs.open_mut(item.task.submission)?;
         let task = open.task(item.task.index)?.clone();
         let runner = self.members.runner_mut(key)?;
--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -143,12 +143,12 @@
     let (reply, actions) = entry.submit(FULL_ANSWER_MS, &TEAM, submission(&id));
     let answer = into_answer(reply);
 
-    let fates: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
+    let outcomes: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
     assert_eq!(actions, []);
     assert_eq!(answer.code, expected);
     assert!(answer.is_final);
     assert_eq!(answer.submission, Some(id));
-    assert_eq!(fates, [api::Fate::Ran, api::Fate::Ran, fate]);
+    assert_eq!(outcomes, [api::Fate::Ran, api::Fate::Ran, fate]);
     assert!(answer.tasks.iter().all(|task| task.output.is_none()));
 }
 
--- a/tests/unit/stops/entry.rs
+++ b/tests/unit/stops/entry.rs
@@ -295,9 +295,9 @@
             let id = accepted.id.to_string();
             let answer = &world.answered[id.as_str()];
             prop_assert!(answer.is_final);
-            let fates: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
+            let outcomes: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
             let dispatched_tasks = dispatched.iter().filter(|(of, _)| *of == id).count();
-            let count = |fate| fates.iter().filter(|other| **other == fate).count();
+            let count = |fate| outcomes.iter().filter(|other| **other == fate).count();
             prop_assert_eq!(count(api::Fate::MayHaveRun), dispatched_tasks);
             prop_assert_eq!(count(api::Fate::Ran), accepted.tasks - accepted.unfinished);
             prop_assert_eq!(
