--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -187,14 +187,15 @@
         let Some(pending) = self.take_in_flight(number) else {
             return Vec::new();
         };
-        self.queue.adjust_charge(pending.team, pending.expected_ms, 0);
+        self.queue
+            .adjust_charge(pending.team, pending.expected_ms, 0);
         self.pause_dispatch(now_ms, pending.runner, code);
         let Some(open) = self.jobs.open_mut(pending.task.submission) else {
             return Vec::new();
         };
-        let verdict = open.give_up_reason();
-        if verdict.is_some() || code == codes::Code::NeverFits {
-            let code = verdict.map_or(code, |verdict| verdict.code);
+        let reason = open.give_up_reason();
+        if reason.is_some() || code == codes::Code::NeverFits {
+            let code = reason.map_or(code, |reason| reason.code);
             return self.decide(now_ms, pending.task, jobs::Decided::not_run(code));
         }
         open.requeued(pending.task.index);
@@ -264,10 +265,10 @@
     /// A task that was stopped because of the deadline fails with the code of the deadline.
     fn cause_of(&self, task: jobs::TaskKey, code: codes::Code) -> codes::Code {
         let open = self.jobs.open_at(task.submission);
-        let verdict = open
+        let reason = open
             .and_then(jobs::Open::give_up_reason)
-            .map(|verdict| verdict.code);
-        match (code, verdict) {
+            .map(|reason| reason.code);
+        match (code, reason) {
             (codes::Code::Cancelled, Some(codes::Code::DeadlineNotRun)) => {
                 codes::Code::DeadlinePassed
             }
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -268,7 +268,7 @@
     ) -> Option<codes::Code> {
         let ids::SubmissionId::Ticket(ticket) = id else {
             let used = claims::ClaimState::Mine { is_used: true };
-            let is_used = self.standing(team, id) == Some(used);
+            let is_used = self.claim_state(team, id) == Some(used);
             return is_used.then_some(codes::Code::AnswerExpired);
         };
         let epochs = self.jobs.epochs();
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -64,8 +64,8 @@
         team: &SmolStr,
         id: ids::SubmissionId,
     ) -> api::Answer {
-        let standing = self.standing(team, &id);
-        let is_final = standing == Some(claims::ClaimState::Barred { is_mine: true });
+        let claim_state = self.claim_state(team, &id);
+        let is_final = claim_state == Some(claims::ClaimState::Barred { is_mine: true });
         self.counts.refused += 1;
         api::Answer {
             retry_after_ms: Some(CLAIM_RETRY_MS),
@@ -75,7 +75,7 @@
     }
 
     /// Returns the state of the claim on a client-chosen id, or `None` for a ticket.
-    pub(crate) fn standing(
+    pub(crate) fn claim_state(
         &self,
         team: &SmolStr,
         id: &ids::SubmissionId,
--- a/src/entry/completion.rs
+++ b/src/entry/completion.rs
@@ -20,7 +20,8 @@
         let was_given_up = open.give_up_reason().is_some();
         self.jobs.decide(now_ms, task, decided);
         let open = self.jobs.open_at(task.submission);
-        let is_newly_given_up = |open: &jobs::Open| open.give_up_reason().is_some() && !open.is_decided();
+        let is_newly_given_up =
+            |open: &jobs::Open| open.give_up_reason().is_some() && !open.is_decided();
         if !was_given_up && open.is_some_and(is_newly_given_up) {
             return self.give_up(now_ms, task.submission, codes::Code::NotNeeded);
         }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -148,14 +148,14 @@
     pub(crate) retries: retry::Retries,
     pub(crate) in_flight: inflight::Attempts,
     pub(crate) drain: drain::DrainRate,
-    pub(crate) returning: retry_after::RefusedWork,
+    pub(crate) refused_work: retry_after::RefusedWork,
     /// Slots in service divided by the number of live entries.
     pub(crate) fair_share: f64,
     pub(crate) no_runner_since_ms: Option<u64>,
     pub(crate) learned: learning::Table,
     /// Slots in service as of the last tick.
     pub(crate) slots: u32,
-    pub(crate) stock: leading::TicketStock,
+    pub(crate) ticket_stock: leading::TicketStock,
     pub(crate) next_attempt: u64,
     pub(crate) next_ticket: u64,
     pub(crate) is_leaving: bool,
@@ -196,12 +196,12 @@
             retries,
             in_flight: inflight::Attempts::default(),
             drain: drain::DrainRate::new(now_ms),
-            returning: retry_after::RefusedWork::default(),
+            refused_work: retry_after::RefusedWork::default(),
             fair_share: 0.0,
             no_runner_since_ms: Some(now_ms),
             learned: learning::Table::default(),
             slots: 0,
-            stock: leading::TicketStock::default(),
+            ticket_stock: leading::TicketStock::default(),
             next_attempt: 1,
             next_ticket: 1,
             is_leaving: false,
@@ -279,7 +279,7 @@
         let mut actions = self.catch_up(now_ms);
         self.queue.configure(&settings.teams);
         let teams = self.queue.teams();
-        self.returning.retain(|key| teams.get(key).is_some());
+        self.refused_work.retain(|key| teams.get(key).is_some());
         self.settings = settings;
         self.revision = revision;
         actions.extend(self.dispatch_queued(now_ms));
@@ -386,7 +386,7 @@
         self.warnings
             .record_report(now_ms, &reply.sender.name, runners);
         if let Some(tickets) = reply.tickets {
-            self.stock.add(now_ms, &reply.sender, tickets);
+            self.ticket_stock.add(now_ms, &reply.sender, tickets);
         }
     }
 
@@ -398,7 +398,7 @@
         now_ms: u64,
         to: Option<ids::Incarnation>,
     ) -> wire::Heartbeat {
-        let tickets = to.map_or(0, |to| self.tickets_wanted(now_ms, to));
+        let tickets = to.map_or(0, |to| self.ticket_shortfall(now_ms, to));
         wire::Heartbeat {
             version: wire::VERSION,
             sender: self.me.clone(),
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -51,17 +51,17 @@
                 retry_after_ms: None,
             });
         }
-        let demand = self.demand(team, submission);
+        let job_demand = self.job_demand(team, submission);
         let view = self.load_view(now_ms, team);
-        let code = self.admission_code(team, submission, &demand, &view)?;
-        let retry_after_ms = self.retry_after_ms(now_ms, team, code, &demand, &view);
+        let code = self.admission_code(team, submission, &job_demand, &view)?;
+        let retry_after_ms = self.retry_after_ms(now_ms, team, code, &job_demand, &view);
         Some(Refusal {
             code,
             retry_after_ms,
         })
     }
 
-    fn demand(&self, team: &SmolStr, submission: &api::Submission) -> admission::Demand {
+    fn job_demand(&self, team: &SmolStr, submission: &api::Submission) -> admission::Demand {
         let estimate = |task: &api::Task| {
             let estimate = self.estimate(team, task);
             (estimate.run_ms, estimate.is_learned)
@@ -76,7 +76,7 @@
         &self,
         team: &SmolStr,
         submission: &api::Submission,
-        demand: &admission::Demand,
+        job_demand: &admission::Demand,
         view: &admission::LoadSnapshot,
     ) -> Option<codes::Code> {
         let needs = submission.tasks.iter();
@@ -88,7 +88,7 @@
             return Some(codes::Code::EntryQueueFull);
         }
         let quota = self.settings.teams.get(team)?;
-        admission::refusal(demand, view, quota, &self.settings)
+        admission::refusal(job_demand, view, quota, &self.settings)
     }
 
     fn load_view(&self, now_ms: u64, team: &SmolStr) -> admission::LoadSnapshot {
@@ -127,7 +127,7 @@
         now_ms: u64,
         team: &SmolStr,
         code: codes::Code,
-        demand: &admission::Demand,
+        job_demand: &admission::Demand,
         view: &admission::LoadSnapshot,
     ) -> Option<u64> {
         if matches!(code, codes::Code::NeverFits | codes::Code::OverQuota) {
@@ -135,13 +135,18 @@
         }
         let key = self.queue.team_key(team);
         let allowed_ms = f64::from(self.settings.policy.max_queue_wait_ms);
-        let allowed_ms = allowed_ms.min(demand.deadline_ms as f64);
+        let allowed_ms = allowed_ms.min(job_demand.deadline_ms as f64);
         let excess_ms = view.wait_ms(0) - allowed_ms;
         let rate = view.drain_rate * view.share;
         let draw = self.rng.next_u64();
-        let delay_ms =
-            self.returning
-                .retry_after_ms(now_ms, key, demand.work_ms, rate, excess_ms, draw);
+        let delay_ms = self.refused_work.retry_after_ms(
+            now_ms,
+            key,
+            job_demand.work_ms,
+            rate,
+            excess_ms,
+            draw,
+        );
         Some(delay_ms)
     }
 
@@ -287,12 +292,12 @@
                 .run_time(team, kind, declared_ms, DEFAULT_RUN_MS);
             estimate.is_learned.then_some(estimate.run_ms)
         };
-        let nearing = self
+        let at_risk = self
             .jobs
             .due()
             .near_deadline(now_ms, learned_ms)
             .into_iter();
-        let infeasible = nearing.filter(|key| self.is_infeasible(now_ms, *key));
+        let infeasible = at_risk.filter(|key| self.is_infeasible(now_ms, *key));
         let infeasible: Vec<_> = infeasible.collect();
         let code = codes::Code::DeadlineNotRun;
         infeasible
--- a/src/entry/pass_on.rs
+++ b/src/entry/pass_on.rs
@@ -58,7 +58,7 @@
         if !leading::is_scarce(free, tasks, self.slots, min_free_fraction) {
             return None;
         }
-        let ticket = self.stock.take(now_ms, &leader)?;
+        let ticket = self.ticket_stock.take(now_ms, &leader)?;
         self.counts.passed_on += 1;
         Some((leader, ticket))
     }
@@ -72,7 +72,7 @@
         now_ms: u64,
         leader: Option<&wire::Peer>,
     ) -> ids::SubmissionId {
-        let ticket = leader.and_then(|leader| self.stock.take(now_ms, leader));
+        let ticket = leader.and_then(|leader| self.ticket_stock.take(now_ms, leader));
         ticket.unwrap_or_else(|| self.ticket())
     }
 
@@ -84,15 +84,15 @@
     }
 
     /// Returns the number of tickets to request from this peer.
-    pub(crate) fn tickets_wanted(&mut self, now_ms: u64, peer: ids::Incarnation) -> u32 {
+    pub(crate) fn ticket_shortfall(&mut self, now_ms: u64, peer: ids::Incarnation) -> u32 {
         let leader = self.other_leader(now_ms);
         let leader = leader.filter(|leader| leader.incarnation == peer);
-        leader.map_or(0, |leader| self.stock.shortfall(now_ms, &leader))
+        leader.map_or(0, |leader| self.ticket_stock.shortfall(now_ms, &leader))
     }
 
     /// Reserves a range of tickets for another entry.
-    pub(crate) fn grant_tickets(&mut self, wanted: u32) -> Option<wire::TicketRange> {
-        let count = wanted.min(leading::MAX_TICKETS_PER_GRANT);
+    pub(crate) fn grant_tickets(&mut self, requested: u32) -> Option<wire::TicketRange> {
+        let count = requested.min(leading::MAX_TICKETS_PER_GRANT);
         if count == 0 || self.is_leaving {
             return None;
         }
--- a/src/entry/status.rs
+++ b/src/entry/status.rs
@@ -191,9 +191,9 @@
         }
     }
 
-    fn state(&self, now_ms: u64, heard_ms: u64, is_leaving: bool) -> SmolStr {
+    fn state(&self, now_ms: u64, seen_ms: u64, is_leaving: bool) -> SmolStr {
         let dead_after = u64::from(self.settings.timeouts.dead_after_ms);
-        let is_silent = heard_ms.saturating_add(dead_after) <= now_ms;
+        let is_silent = seen_ms.saturating_add(dead_after) <= now_ms;
         let label = match (is_leaving, is_silent) {
             (true, _) => "leaving",
             (false, true) => "silent",
