--- a/tests/unit/dispatching/callers.rs
+++ b/tests/unit/dispatching/callers.rs
@@ -117,18 +117,18 @@
         if !self.is_running(entry) {
             return;
         }
-        let incarnation = self.entries[entry].incarnation;
+        let entry_incarnation = self.entries[entry].incarnation;
         match self.resolve(entry, call.clone()) {
             calls::Reply::Answer(answer) => self.receive_answer(caller, *answer),
             calls::Reply::Open(key) => {
-                let waiters = self.waiters.entry((incarnation, key)).or_default();
+                let waiters = self.waiters.entry((entry_incarnation, key)).or_default();
                 waiters.push(caller);
             }
             calls::Reply::Forward {
                 owner,
                 if_silent,
                 ticket,
-            } => self.forward(incarnation, &owner, caller, call, (if_silent, ticket)),
+            } => self.forward(entry_incarnation, &owner, caller, call, (if_silent, ticket)),
             calls::Reply::Claiming(name) => {
                 unreachable!("{name:?} is claimed though all ids are tickets")
             }
--- a/tests/unit/dispatching/world.rs
+++ b/tests/unit/dispatching/world.rs
@@ -125,12 +125,12 @@
 
 fn runner_core(
     at: usize,
-    incarnation: u64,
+    runner_incarnation: u64,
     now_ms: u64,
     settings: &sync::Arc<settings::Settings>,
 ) -> runner::core::Core {
     let parts = runner::core::Parts {
-        me: peer(wire::Role::Runner, &at.to_string(), incarnation),
+        me: peer(wire::Role::Runner, &at.to_string(), runner_incarnation),
         slots: 3,
         size: wire::Resources::default(),
     };
@@ -192,9 +192,9 @@
     }
 
     /// Returns the index of an entry incarnation if it still runs.
-    pub fn entry_of(&self, incarnation: ids::Incarnation) -> Option<usize> {
+    pub fn entry_of(&self, entry_incarnation: ids::Incarnation) -> Option<usize> {
         let mut entries = self.entries.iter();
-        entries.position(|entry| entry.incarnation == incarnation)
+        entries.position(|entry| entry.incarnation == entry_incarnation)
     }
 
     pub fn is_running(&self, entry: usize) -> bool {
@@ -232,7 +232,7 @@
     }
 
     pub fn act_for_entry(&mut self, entry: usize, actions: Vec<entry::core::Action>) {
-        let incarnation = self.entries[entry].incarnation;
+        let entry_incarnation = self.entries[entry].incarnation;
         for action in actions {
             match action {
                 entry::core::Action::Dispatch { address, dispatch } => {
@@ -245,9 +245,9 @@
                     self.send_fence(address.parse().expect("address is a runner index"), fence);
                 }
                 entry::core::Action::Answer { submission, answer } => {
-                    let is_first = self.answered.insert((incarnation, submission));
+                    let is_first = self.answered.insert((entry_incarnation, submission));
                     assert!(is_first, "submission answered twice");
-                    let waiters = self.waiters.remove(&(incarnation, submission));
+                    let waiters = self.waiters.remove(&(entry_incarnation, submission));
                     for caller in waiters.unwrap_or_default() {
                         self.receive_answer(caller, (*answer).clone());
                     }
@@ -309,11 +309,11 @@
     }
 
     fn start(&mut self, at: usize, dispatch: &wire::Dispatch) {
-        let incarnation = ids::Incarnation(self.runners[at].incarnation);
+        let runner_incarnation = ids::Incarnation(self.runners[at].incarnation);
         let attempt = dispatch.attempt;
         if self.happens(self.faults.lost) {
             let end = runner::core::End::Unreachable;
-            self.post(5, Message::TaskEnded(at, incarnation, attempt, end));
+            self.post(5, Message::TaskEnded(at, runner_incarnation, attempt, end));
             return;
         }
         let caller = dispatch
@@ -333,19 +333,22 @@
             peak: wire::Resources::default(),
         };
         let run_ms = self.rng.random_range(10..400);
-        self.post(run_ms, Message::TaskEnded(at, incarnation, attempt, end));
+        self.post(
+            run_ms,
+            Message::TaskEnded(at, runner_incarnation, attempt, end),
+        );
     }
 
     fn deliver(&mut self, message: Message) {
         let now_ms = self.now_ms;
         match message {
             Message::Dispatch(at, dispatch) => {
-                let incarnation = self.runners[at].incarnation;
+                let runner_incarnation = self.runners[at].incarnation;
                 if *self
                     .first_reached
                     .entry(dispatch.attempt)
-                    .or_insert(incarnation)
-                    == incarnation
+                    .or_insert(runner_incarnation)
+                    == runner_incarnation
                 {
                     let actions = self.runners[at].core.dispatch(now_ms, *dispatch);
                     self.act_for_runner(at, actions);
@@ -366,8 +369,8 @@
                     self.send(Message::FenceReply(fence, Box::new(reply)));
                 }
             }
-            Message::TaskEnded(at, incarnation, attempt, end) => {
-                if self.runners[at].incarnation == incarnation.0 {
+            Message::TaskEnded(at, runner_incarnation, attempt, end) => {
+                if self.runners[at].incarnation == runner_incarnation.0 {
                     let actions = self.runners[at].core.ended(now_ms, attempt, end);
                     self.act_for_runner(at, actions);
                 }
@@ -397,10 +400,10 @@
     /// Runs `handle` on an entry incarnation, unless it has been replaced.
     fn with_entry(
         &mut self,
-        incarnation: ids::Incarnation,
+        entry_incarnation: ids::Incarnation,
         handle: impl FnOnce(&mut Entry) -> Vec<entry::core::Action>,
     ) {
-        if let Some(at) = self.entry_of(incarnation) {
+        if let Some(at) = self.entry_of(entry_incarnation) {
             let actions = handle(&mut self.entries[at]);
             self.act_for_entry(at, actions);
         }
@@ -418,9 +421,9 @@
 
     fn send_heartbeats(&mut self, from: usize) {
         for to in (0..self.entries.len()).filter(|to| *to != from) {
-            let incarnation = self.entries[to].incarnation;
+            let entry_incarnation = self.entries[to].incarnation;
             let core = &mut self.entries[from].core;
-            let heartbeat = Box::new(core.heartbeat_to_send(self.now_ms, Some(incarnation)));
+            let heartbeat = Box::new(core.heartbeat_to_send(self.now_ms, Some(entry_incarnation)));
             if !self.happens(self.faults.lost) {
                 self.send(Message::Heartbeat(to, heartbeat));
             }
@@ -445,8 +448,8 @@
         }
     }
 
-    fn entry_running_at_ms(&self, incarnation: ids::Incarnation) -> u64 {
-        let entry = self.entry_of(incarnation);
+    fn entry_running_at_ms(&self, entry_incarnation: ids::Incarnation) -> u64 {
+        let entry = self.entry_of(entry_incarnation);
         entry.map_or(0, |at| self.entries[at].suspended_until_ms)
     }
 
@@ -498,10 +501,10 @@
                 self.runners[at].suspended_until_ms = until_ms;
             }
             if self.happens_permille(self.faults.replaced) {
-                let incarnation = self.runners[at].incarnation + 1;
-                let core = runner_core(at, incarnation, self.now_ms, &self.settings);
+                let runner_incarnation = self.runners[at].incarnation + 1;
+                let core = runner_core(at, runner_incarnation, self.now_ms, &self.settings);
                 self.runners[at].core = core;
-                self.runners[at].incarnation = incarnation;
+                self.runners[at].incarnation = runner_incarnation;
             }
         }
     }
