--- a/src/jobs/answer.rs
+++ b/src/jobs/answer.rs
@@ -1,4 +1,4 @@
-//! Putting the answers together: complete, or failed with every task's fate.
+//! Builds the answer to a submission from the outcomes of its tasks.
 
 use smol_str::SmolStr;
 
@@ -7,17 +7,17 @@
 use crate::ids;
 use crate::jobs;
 
-/// The final answer of a submission whose tasks are all decided.
+/// Builds the final answer of a submission whose tasks are all decided.
 pub fn compose(open: &jobs::Open, now_ms: u64) -> api::Answer {
     let decided: Vec<&jobs::Decided> = open
         .iter_progress()
-        .filter_map(|(_, p)| decided(p))
+        .filter_map(|(_, state)| as_decided(state))
         .collect();
     let code = overall(&decided);
     let is_complete = code == codes::Code::Complete;
     let tasks = decided
         .into_iter()
-        .map(|decided| task(decided, is_complete))
+        .map(|decided| task_answer(decided, is_complete))
         .collect();
     api::Answer {
         tasks,
@@ -26,14 +26,14 @@
     }
 }
 
-const fn decided(progress: &jobs::Progress) -> Option<&jobs::Decided> {
+const fn as_decided(progress: &jobs::Progress) -> Option<&jobs::Decided> {
     match progress {
         jobs::Progress::Decided(decided) => Some(decided),
         _ => None,
     }
 }
 
-/// The answer while tasks are undecided.
+/// Builds the interim answer of a submission that still has undecided tasks.
 pub fn pending(open: &jobs::Open, now_ms: u64) -> api::Answer {
     api::Answer {
         elapsed_ms: now_ms.saturating_sub(open.header.arrived_ms),
@@ -41,7 +41,7 @@
     }
 }
 
-/// An answer that is all in its code.
+/// Builds an answer that holds a result code and no tasks.
 pub fn bare(id: Option<ids::SubmissionId>, code: codes::Code, is_final: bool) -> api::Answer {
     api::Answer {
         submission: id,
@@ -55,31 +55,34 @@
     }
 }
 
-/// The weakest promise decides: what may have run, then what ran, then what did not.
+/// Returns the result code of the whole submission.
+///
+/// The code of the weakest guarantee wins: a task that may have run comes before one that
+/// failed, and that before one that did not run.
 fn overall(decided: &[&jobs::Decided]) -> codes::Code {
-    let code_of = |fate: api::Fate| {
+    let first_code = |fate: api::Fate| {
         let mut codes = decided
             .iter()
-            .filter(|one| one.fate == fate)
-            .map(|one| one.code);
+            .filter(|task| task.fate == fate)
+            .map(|task| task.code);
         let first = codes.clone().next();
         codes.find(|code| !is_consequence(*code)).or(first)
     };
-    let ran = code_of(api::Fate::Ran);
+    let ran = first_code(api::Fate::Ran);
     match (
-        code_of(api::Fate::MayHaveRun),
-        code_of(api::Fate::Failed),
-        code_of(api::Fate::NotRun),
+        first_code(api::Fate::MayHaveRun),
+        first_code(api::Fate::Failed),
+        first_code(api::Fate::NotRun),
     ) {
         (Some(lost), _, _) => lost,
         (None, Some(failed), _) => failed,
         (None, None, None) => codes::Code::Complete,
         (None, None, Some(not_run)) if ran.is_none() => not_run,
-        (None, None, Some(not_run)) => partly(not_run),
+        (None, None, Some(not_run)) => partly_not_run(not_run),
     }
 }
 
-/// Codes of tasks that ended because another one of their submission had failed.
+/// Whether a task ended with this code only because another task of its submission failed.
 const fn is_consequence(code: codes::Code) -> bool {
     matches!(
         code,
@@ -87,8 +90,10 @@
     )
 }
 
-/// Some tasks ran: a code that says "not run" would be untrue of the whole.
-const fn partly(not_run: codes::Code) -> codes::Code {
+/// Returns the code of a submission of which some tasks ran and others did not.
+///
+/// A code of the class "not run" would be wrong for the submission as a whole.
+const fn partly_not_run(not_run: codes::Code) -> codes::Code {
     match not_run {
         codes::Code::CancelledNotRun => codes::Code::Cancelled,
         codes::Code::DeadlineNotRun => codes::Code::DeadlinePassed,
@@ -96,8 +101,8 @@
     }
 }
 
-/// Outputs are given only where the whole answer is complete.
-fn task(decided: &jobs::Decided, with_output: bool) -> api::TaskAnswer {
+/// Builds the answer of one task; `with_output` is set only if the whole submission completed.
+fn task_answer(decided: &jobs::Decided, with_output: bool) -> api::TaskAnswer {
     let place = decided.place.as_ref();
     api::TaskAnswer {
         fate: decided.fate,
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -1,8 +1,8 @@
-//! Submissions: what was taken in, what became of each task, and the one answer.
+//! Submissions: their tasks, the progress of each task and the final answer.
 //!
-//! A submission is [`Open`] until every task's fate is decided, and then [`Ended`]
-//! for good; a [`summary::Summary`] is all that is left of it after a time. Only what is
-//! over has an answer, so an answer is never partial.
+//! A submission is [`Open`] until the outcome of every task is decided, and [`Ended`] from
+//! then on; later it is reduced to a [`summary::Summary`]. Only an ended submission has a
+//! final answer, so that an answer is never partial.
 
 pub mod answer;
 pub mod due;
@@ -21,69 +21,69 @@
 pub use table::Key;
 pub use table::Table;
 
-/// One task of a submission: small, and copied freely.
+/// Identifies one task of a submission.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct TaskKey {
     /// The submission.
     pub submission: Key,
-    /// The task's place in it.
+    /// Index of the task in the submission.
     pub index: u32,
 }
 
-/// What is the same for the whole life of a submission.
+/// Properties of a submission that never change.
 #[derive(Clone, Debug)]
 pub struct Header {
-    /// The caller's id for it.
+    /// Id under which callers know it.
     pub id: ids::SubmissionId,
-    /// Who pays and may read the answer.
+    /// Team that is charged and may read the answer.
     pub team: SmolStr,
-    /// Tells a repeat from another submission under the same id.
+    /// Hash of the content; tells a repeat from another submission with the same id.
     pub fingerprint: u64,
-    /// When it came, monotonic milliseconds.
+    /// Arrival time in monotonic milliseconds.
     pub arrived_ms: u64,
-    /// When its answer is due, monotonic milliseconds.
+    /// Deadline for the answer in monotonic milliseconds.
     pub deadline_ms: u64,
-    /// Whether a task that may have run may be started again.
+    /// Whether tasks that may have run can be started again.
     pub is_idempotent: bool,
 }
 
-/// How a task of an open submission stands.
+/// Progress of a task of an open submission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Progress {
-    /// It waits at this entry.
+    /// Waits at this entry.
     Queued,
-    /// It was handed to a runner under this attempt.
+    /// Sent to a runner as this attempt.
     Dispatched(ids::Attempt),
-    /// Its fate is decided.
+    /// Has its final outcome.
     Decided(Decided),
 }
 
-/// A task's fate and what goes with it.
+/// Final outcome of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decided {
-    /// What became of it.
+    /// Class of the outcome.
     pub fate: api::Fate,
-    /// Why.
+    /// Result code.
     pub code: codes::Code,
-    /// What the backend server answered.
+    /// Output of the backend server.
     pub output: String,
-    /// Milliseconds it ran for.
+    /// Run time in milliseconds.
     pub run_ms: u64,
-    /// Runner and availability zone it ran at, if it did.
+    /// Where it ran, if it did.
     pub place: Option<Place>,
 }
 
-/// Where a task ran.
+/// Runner and availability zone where a task ran.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Place {
-    /// The runner's name.
+    /// Name of the runner.
     pub runner: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the runner.
     pub zone: SmolStr,
 }
 
 impl Decided {
-    /// It was not started and never will be.
+    /// Returns the outcome of a task that was not started and never will be.
     pub const fn not_run(code: codes::Code) -> Self {
         Self {
             fate: api::Fate::NotRun,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// It may have been started and won't be again.
+    /// Returns the outcome of a task that may have been started and is not started again.
     pub const fn may_have_run(code: codes::Code, place: Option<Place>) -> Self {
         Self {
             fate: api::Fate::MayHaveRun,
@@ -106,39 +106,40 @@
     }
 }
 
-/// A submission whose tasks are not all decided.
+/// A submission that has undecided tasks.
 #[derive(Clone, Debug)]
 pub struct Open {
-    /// What stays the same.
+    /// Properties that never change.
     pub header: Header,
-    /// What was declared.
+    /// Tasks as declared by the caller.
     pub tasks: Vec<api::Task>,
     progress: Vec<Progress>,
     undecided: usize,
     give_up_reason: Option<GiveUpReason>,
+    /// Outcomes of lost attempts that may have started their task, by task index.
     lost: collections::BTreeMap<u32, Decided>,
 }
 
-/// Why a submission can't complete any more, and since when.
+/// Why a submission can no longer complete, and since when.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct GiveUpReason {
-    /// The first reason.
+    /// Result code of the first reason.
     pub code: codes::Code,
-    /// Monotonic milliseconds.
+    /// Time in monotonic milliseconds.
     pub at_ms: u64,
 }
 
-/// A submission that is over, with its answer.
+/// A submission that has ended, with its final answer.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// Tells a repeat from another submission under the same id.
+    /// Hash of the content; tells a repeat from another submission with the same id.
     pub fingerprint: u64,
     /// The final answer.
     pub answer: api::Answer,
 }
 
 impl Open {
-    /// Takes in a submission with all its tasks queued.
+    /// Creates a submission with all tasks queued.
     pub fn new(header: Header, tasks: Vec<api::Task>) -> Self {
         let progress = vec![Progress::Queued; tasks.len()];
         let undecided = tasks.len();
@@ -152,54 +153,54 @@
         }
     }
 
-    /// How a task stands.
+    /// Returns the progress of a task.
     pub fn progress(&self, index: u32) -> Option<&Progress> {
         self.progress.get(index as usize)
     }
 
-    /// What was declared for a task.
+    /// Returns a task as declared by the caller.
     pub fn task(&self, index: u32) -> Option<&api::Task> {
         self.tasks.get(index as usize)
     }
 
-    /// All tasks and how they stand.
+    /// Iterates over the task indices and their progress.
     pub fn iter_progress(&self) -> impl Iterator<Item = (u32, &Progress)> {
         (0..).zip(&self.progress)
     }
 
-    /// Whether the submission can't complete any more, and why.
+    /// Returns why the submission can no longer complete, if it was given up.
     pub const fn give_up_reason(&self) -> Option<GiveUpReason> {
         self.give_up_reason
     }
 
-    /// Gives the submission up; the first reason stands.
+    /// Gives the submission up; only the first reason is kept.
     pub const fn give_up(&mut self, at_ms: u64, code: codes::Code) {
         if self.give_up_reason.is_none() {
             self.give_up_reason = Some(GiveUpReason { code, at_ms });
         }
     }
 
-    /// The task was handed to a runner.
+    /// Records that a task was sent to a runner.
     pub fn dispatched(&mut self, index: u32, attempt: ids::Attempt) {
-        self.set(index, Progress::Dispatched(attempt));
+        self.set_progress(index, Progress::Dispatched(attempt));
     }
 
-    /// The task came back unstarted.
+    /// Records that a task came back unstarted and waits again.
     pub fn requeued(&mut self, index: u32) {
-        self.set(index, Progress::Queued);
+        self.set_progress(index, Progress::Queued);
     }
 
-    /// An attempt may have started the task, and the task is to be started again.
+    /// Records that an attempt was lost that may have started the task, and requeues the task.
     pub fn lost(&mut self, index: u32, code: codes::Code, place: Option<Place>) {
         let decided = Decided::may_have_run(code, place);
         self.lost.insert(index, decided);
         self.requeued(index);
     }
 
-    /// The task's fate is decided; a fate once decided stands.
+    /// Records the final outcome of a task; later outcomes of the same task are ignored.
     ///
-    /// A task of which an earlier attempt may have started is never "not run",
-    /// whatever became of the attempts after it.
+    /// A task that an earlier attempt may have started never ends as "not run", however the
+    /// later attempts ended.
     pub fn decide(&mut self, now_ms: u64, index: u32, decided: Decided) {
         let decided = match self.lost.get(&index) {
             Some(lost) if decided.fate == api::Fate::NotRun => lost.clone(),
@@ -208,28 +209,28 @@
         if !matches!(decided.fate, api::Fate::Ran) {
             self.give_up(now_ms, decided.code);
         }
-        self.set(index, Progress::Decided(decided));
+        self.set_progress(index, Progress::Decided(decided));
     }
 
-    fn set(&mut self, index: u32, progress: Progress) {
-        let Some(slot) = self.progress.get_mut(index as usize) else {
+    fn set_progress(&mut self, index: u32, progress: Progress) {
+        let Some(current) = self.progress.get_mut(index as usize) else {
             return;
         };
-        if matches!(slot, Progress::Decided(_)) {
+        if matches!(current, Progress::Decided(_)) {
             return;
         }
         if matches!(progress, Progress::Decided(_)) {
             self.undecided -= 1;
         }
-        *slot = progress;
+        *current = progress;
     }
 
-    /// Whether every task's fate is decided.
+    /// Whether every task has its final outcome.
     pub const fn is_decided(&self) -> bool {
         self.undecided == 0
     }
 
-    /// The end of the submission, once every task is decided.
+    /// Returns the ended submission, or `None` while tasks are undecided.
     pub fn end(&self, now_ms: u64) -> Option<Ended> {
         if !self.is_decided() {
             return None;
--- a/src/jobs/summary.rs
+++ b/src/jobs/summary.rs
@@ -1,7 +1,7 @@
-//! What is kept of an answer after its time: enough to tell the truth, no outputs.
+//! Compact form of an answer after its retention period: outcomes without outputs.
 //!
-//! Load pattern answered: many submissions a second, each remembered for minutes so that a
-//! repeat never starts it again. Kept whole, their answers take most of an entry's memory.
+//! An ended submission is remembered for minutes so that a repeat never starts it again. At
+//! many submissions per second, whole answers would take most of an entry's memory.
 
 use crate::api;
 use crate::codes;
@@ -9,32 +9,32 @@
 use crate::jobs;
 use crate::jobs::answer;
 
-/// Tasks in a row with the same fate for the same reason.
+/// Run-length encoding of consecutive tasks with the same outcome and result code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-struct Run {
+struct Repeated {
     fate: api::Fate,
     code: codes::Code,
     count: u32,
 }
 
-/// The code and the tasks' fates of a submission that is over.
+/// Result code and task outcomes of a submission that has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Summary {
-    /// Tells a repeat from another submission under the same id.
+    /// Hash of the content; tells a repeat from another submission with the same id.
     pub fingerprint: u64,
     code: codes::Code,
     elapsed_ms: u64,
-    fates: Box<[Run]>,
+    outcomes: Box<[Repeated]>,
 }
 
 impl From<&jobs::Ended> for Summary {
     fn from(ended: &jobs::Ended) -> Self {
         let answer = &ended.answer;
-        let mut fates = Vec::<Run>::new();
+        let mut outcomes = Vec::<Repeated>::new();
         for task in &answer.tasks {
-            match fates.last_mut() {
-                Some(run) if (run.fate, run.code) == (task.fate, task.code) => run.count += 1,
-                _ => fates.push(Run {
+            match outcomes.last_mut() {
+                Some(last) if (last.fate, last.code) == (task.fate, task.code) => last.count += 1,
+                _ => outcomes.push(Repeated {
                     fate: task.fate,
                     code: task.code,
                     count: 1,
@@ -45,29 +45,31 @@
             fingerprint: ended.fingerprint,
             code: answer.code,
             elapsed_ms: answer.elapsed_ms,
-            fates: fates.into_boxed_slice(),
+            outcomes: outcomes.into_boxed_slice(),
         }
     }
 }
 
 impl Summary {
-    /// What to say now. "Complete" would promise outputs that are gone, so it has a code
-    /// of its own; all other answers had no outputs.
+    /// Returns the final answer without outputs.
+    ///
+    /// `Complete` would promise outputs that are gone, so it becomes `OutputsExpired`; answers
+    /// with any other code never held outputs.
     pub fn answer(&self, id: Option<ids::SubmissionId>) -> api::Answer {
         let code = match self.code {
             codes::Code::Complete => codes::Code::OutputsExpired,
             code => code,
         };
-        let tasks = self.fates.iter().flat_map(|run| {
+        let tasks = self.outcomes.iter().flat_map(|repeated| {
             let task = api::TaskAnswer {
-                fate: run.fate,
-                code: run.code,
+                fate: repeated.fate,
+                code: repeated.code,
                 output: None,
                 runner: None,
                 zone: None,
                 run_ms: 0,
             };
-            std::iter::repeat_n(task, run.count as usize)
+            std::iter::repeat_n(task, repeated.count as usize)
         });
         api::Answer {
             tasks: tasks.collect(),
--- a/src/jobs/table.rs
+++ b/src/jobs/table.rs
@@ -1,4 +1,4 @@
-//! All submissions of one life of an entry, under small keys.
+//! All submissions that one incarnation of an entry remembers.
 
 use std::collections;
 
@@ -13,23 +13,23 @@
 use crate::jobs::summary;
 
 slotmap::new_key_type! {
-    /// Key of a submission; never valid for another one.
+    /// Key of a submission; never reused for another one.
     pub struct Key;
 }
 
-/// A submission in any part of its life; boxed, so that most lines are small.
+/// A submission in any state; the states are boxed to keep the records of the table small.
 #[derive(Clone, Debug)]
 pub enum Submission {
-    /// Not all tasks are decided.
+    /// Has undecided tasks.
     Open(Box<jobs::Open>),
-    /// Over, with the whole answer.
+    /// Ended, with the whole answer.
     Ended(Box<jobs::Ended>),
-    /// Over for long.
+    /// Ended, with an answer that is reduced to the outcomes.
     Summary(Box<summary::Summary>),
 }
 
 impl Submission {
-    /// Tells a repeat from another submission under the same id.
+    /// Returns the hash of the content.
     pub fn fingerprint(&self) -> u64 {
         match self {
             Self::Open(open) => open.header.fingerprint,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The final answer, as far as it is kept, to a call that names this id.
+    /// Returns the final answer as far as it is kept; `id` is the id that the call named.
     pub fn answer(&self, id: Option<&ids::SubmissionId>) -> Option<api::Answer> {
         match self {
             Self::Open(_) => None,
@@ -48,82 +48,84 @@
     }
 }
 
-/// Ids are a team's own: the same text from two teams names two submissions, so
-/// no team can read or hit upon another's.
-type Name = (SmolStr, ids::SubmissionId);
+/// Team and id: the same id from two teams names two submissions, so that no team can read
+/// or collide with the submissions of another.
+type ScopedId = (SmolStr, ids::SubmissionId);
 
 #[derive(Debug)]
-struct Line {
+struct Record {
     submission: Submission,
+    /// Epoch in which the submission was added or ended.
     tag: u64,
-    /// When its answer was last told or asked for, without pauses of this process.
-    told_ms: u64,
+    /// Time at which the answer was last sent or requested, in milliseconds without pauses.
+    accessed_ms: u64,
     is_refusal: bool,
 }
 
-/// Most refusals remembered beside the submissions taken in.
+/// Maximum number of refusals that are remembered besides the accepted submissions.
 pub const MAX_REFUSALS: usize = 20_000;
 
-/// The submissions.
+/// Submissions by key and by id.
 #[derive(Debug)]
 pub struct Table {
     epochs: epoch_window::EpochWindow,
-    lines: slotmap::SlotMap<Key, Line>,
-    names: collections::HashMap<Name, Key>,
+    records: slotmap::SlotMap<Key, Record>,
+    by_id: collections::HashMap<ScopedId, Key>,
     due: due::DueIndex,
-    /// Whole answers, and when they were told.
-    told: collections::VecDeque<(u64, Key)>,
+    /// Whole answers in the order of their last known access.
+    accesses: collections::VecDeque<(u64, Key)>,
+    /// Total time for which this process was suspended.
     paused_ms: u64,
     open: usize,
     refusals: usize,
 }
 
 impl Table {
-    /// Starts empty, in the first epoch.
+    /// Creates an empty table in the first epoch.
     pub fn new(now_ms: u64) -> Self {
         Self {
             epochs: epoch_window::EpochWindow::new(now_ms),
-            lines: slotmap::SlotMap::with_key(),
-            names: collections::HashMap::new(),
+            records: slotmap::SlotMap::with_key(),
+            by_id: collections::HashMap::new(),
             due: due::DueIndex::default(),
-            told: collections::VecDeque::new(),
+            accesses: collections::VecDeque::new(),
             paused_ms: 0,
             open: 0,
             refusals: 0,
         }
     }
 
-    /// The epochs by which tickets are minted and checked.
+    /// Returns the epochs by which tickets are issued and checked.
     pub const fn epochs(&self) -> epoch_window::EpochWindow {
         self.epochs
     }
 
-    /// How many submissions that were taken in are remembered.
+    /// Number of remembered submissions, without refusals.
     pub fn len(&self) -> usize {
-        self.lines.len() - self.refusals
+        self.records.len() - self.refusals
     }
 
-    /// Whether none is remembered.
+    /// Whether no submission is remembered, refusals aside.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many are open.
+    /// Number of open submissions.
     pub const fn open(&self) -> usize {
         self.open
     }
 
     /// Finds a submission by its id.
     pub fn find(&self, team: &SmolStr, id: &ids::SubmissionId) -> Option<Key> {
-        self.names.get(&(team.clone(), id.clone())).copied()
+        self.by_id.get(&(team.clone(), id.clone())).copied()
     }
 
-    /// Looks at a submission.
+    /// Returns a submission.
     pub fn get(&self, key: Key) -> Option<&Submission> {
-        self.lines.get(key).map(|line| &line.submission)
+        self.records.get(key).map(|record| &record.submission)
     }
 
-    /// Looks at an open submission.
+    /// Returns a submission if it is open.
     pub fn open_at(&self, key: Key) -> Option<&jobs::Open> {
         match self.get(key)? {
             Submission::Open(open) => Some(open),
@@ -131,30 +133,31 @@
         }
     }
 
-    /// Which submissions are to be looked at again.
+    /// Returns the index of submissions by due time.
     pub const fn due(&self) -> &due::DueIndex {
         &self.due
     }
 
-    /// See [`jobs::Open::give_up`].
+    /// Gives a submission up, see [`jobs::Open::give_up`].
     pub fn give_up(&mut self, now_ms: u64, key: Key, code: codes::Code) {
         if let Some(open) = self.open_mut(key) {
             open.give_up(now_ms, code);
         }
-        self.watch(key);
+        self.update_due(key);
     }
 
-    /// See [`jobs::Open::decide`].
+    /// Records the outcome of a task, see [`jobs::Open::decide`].
     pub fn decide(&mut self, now_ms: u64, task: jobs::TaskKey, decided: jobs::Decided) {
         if let Some(open) = self.open_mut(task.submission) {
             open.decide(now_ms, task.index, decided);
         }
-        self.watch(task.submission);
+        self.update_due(task.submission);
     }
 
-    /// Notes when a submission that was given up is to be looked at again.
-    fn watch(&mut self, key: Key) {
-        let Some(Submission::Open(open)) = self.lines.get(key).map(|line| &line.submission) else {
+    /// Updates the due index if the submission has been given up.
+    fn update_due(&mut self, key: Key) {
+        let Some(Submission::Open(open)) = self.records.get(key).map(|record| &record.submission)
+        else {
             return;
         };
         if let Some(reason) = open.give_up_reason() {
@@ -162,138 +165,141 @@
         }
     }
 
-    /// Changes an open submission; what may give it up goes through [`Table::give_up`]
-    /// and [`Table::decide`].
+    /// Returns an open submission for changes.
+    ///
+    /// Changes that may give it up have to go through [`Table::give_up`] and
+    /// [`Table::decide`], which keep the due index up to date.
     pub fn open_mut(&mut self, key: Key) -> Option<&mut jobs::Open> {
-        match &mut self.lines.get_mut(key)?.submission {
+        match &mut self.records.get_mut(key)?.submission {
             Submission::Open(open) => Some(open),
             Submission::Ended(_) | Submission::Summary(_) => None,
         }
     }
 
-    /// Keys of all open submissions.
+    /// Returns the keys of all open submissions.
     pub fn open_keys(&self) -> Vec<Key> {
-        let is_open = |line: &Line| matches!(line.submission, Submission::Open(_));
-        self.lines
+        let is_open = |record: &Record| matches!(record.submission, Submission::Open(_));
+        self.records
             .iter()
-            .filter(|(_, line)| is_open(line))
+            .filter(|(_, record)| is_open(record))
             .map(|(key, _)| key)
             .collect()
     }
 
-    /// Takes in a new submission.
+    /// Adds a new submission.
     pub fn insert(&mut self, open: jobs::Open) -> Key {
-        let name = (open.header.team.clone(), open.header.id.clone());
+        let scoped_id = (open.header.team.clone(), open.header.id.clone());
         let tag = self.epochs.current();
-        let key = self.lines.insert_with_key(|key| {
+        let key = self.records.insert_with_key(|key| {
             self.due.insert(key, &open);
-            Line {
+            Record {
                 submission: Submission::Open(Box::new(open)),
                 tag,
-                told_ms: 0,
+                accessed_ms: 0,
                 is_refusal: false,
             }
         });
-        self.names.insert(name, key);
+        self.by_id.insert(scoped_id, key);
         self.open += 1;
         key
     }
 
-    /// Remembers that an id was refused, so that it never starts under this life.
+    /// Remembers a refused submission, so that this incarnation never starts it.
     ///
-    /// A refusal says that nothing will be started. The same submission may be on
-    /// its way a second time, and would start when it finds room; its caller, who
-    /// trusted the refusal, has submitted anew by then. Gives whether there was room
-    /// to remember it.
+    /// A refusal promises that nothing is started. Another copy of the same submission may
+    /// still be in transit and would start once there is free capacity, after the caller has
+    /// relied on the refusal and submitted the work again. Returns `false` if
+    /// [`MAX_REFUSALS`] are remembered already.
     pub fn insert_refusal(&mut self, header: jobs::Header, answer: api::Answer) -> bool {
         if self.refusals >= MAX_REFUSALS {
             return false;
         }
-        let name = (header.team, header.id);
+        let scoped_id = (header.team, header.id);
         let tag = self.epochs.current();
-        let told_ms = header.arrived_ms.saturating_sub(self.paused_ms);
+        let accessed_ms = header.arrived_ms.saturating_sub(self.paused_ms);
         let ended = jobs::Ended {
             fingerprint: header.fingerprint,
             answer,
         };
-        let key = self.lines.insert(Line {
+        let key = self.records.insert(Record {
             submission: Submission::Ended(Box::new(ended)),
             tag,
-            told_ms,
+            accessed_ms,
             is_refusal: true,
         });
-        self.told.push_back((told_ms, key));
-        self.names.insert(name, key);
+        self.accesses.push_back((accessed_ms, key));
+        self.by_id.insert(scoped_id, key);
         self.refusals += 1;
         true
     }
 
-    /// Ends a submission if all its tasks are decided, and gives its answer then.
+    /// Ends a submission and returns its final answer, or `None` while tasks are undecided.
     pub fn settle(&mut self, key: Key, now_ms: u64) -> Option<api::Answer> {
-        let line = self.lines.get_mut(key)?;
-        let Submission::Open(open) = &line.submission else {
+        let record = self.records.get_mut(key)?;
+        let Submission::Open(open) = &record.submission else {
             return None;
         };
         let ended = open.end(now_ms)?;
         self.due.remove(key, open);
         let answer = ended.answer.clone();
-        line.submission = Submission::Ended(Box::new(ended));
-        line.tag = self.epochs.current();
-        line.told_ms = now_ms.saturating_sub(self.paused_ms);
-        self.told.push_back((line.told_ms, key));
+        record.submission = Submission::Ended(Box::new(ended));
+        record.tag = self.epochs.current();
+        record.accessed_ms = now_ms.saturating_sub(self.paused_ms);
+        self.accesses.push_back((record.accessed_ms, key));
         self.open -= 1;
         Some(answer)
     }
 
-    /// A caller asks for the answer: it stays whole for a while longer.
+    /// Records that a caller requested the answer, which extends its retention.
     pub fn touch(&mut self, now_ms: u64, key: Key) {
-        if let Some(line) = self.lines.get_mut(key) {
-            line.told_ms = now_ms.saturating_sub(self.paused_ms);
+        if let Some(record) = self.records.get_mut(key) {
+            record.accessed_ms = now_ms.saturating_sub(self.paused_ms);
         }
     }
 
-    /// This process stood still for so long, and nobody could ask for an answer.
+    /// Excludes a suspension of this process from the retention period, since callers could
+    /// not request answers during it.
     pub const fn exclude_pause(&mut self, paused_ms: u64) {
         self.paused_ms += paused_ms;
     }
 
-    /// Keeps only summaries of answers that nobody was told or asked for in that time.
+    /// Reduces answers to summaries that were neither sent nor requested for `whole_ms`.
     pub fn compact(&mut self, now_ms: u64, whole_ms: u64) {
         let now_ms = now_ms.saturating_sub(self.paused_ms);
-        while let Some((told_ms, key)) = self.told.front().copied() {
-            if told_ms.saturating_add(whole_ms) > now_ms {
+        while let Some((accessed_ms, key)) = self.accesses.front().copied() {
+            if accessed_ms.saturating_add(whole_ms) > now_ms {
                 return;
             }
-            self.told.pop_front();
-            let Some(line) = self.lines.get_mut(key) else {
+            self.accesses.pop_front();
+            let Some(record) = self.records.get_mut(key) else {
                 continue;
             };
-            if line.told_ms > told_ms {
-                self.told.push_back((line.told_ms, key));
-            } else if let Submission::Ended(ended) = &line.submission {
+            if record.accessed_ms > accessed_ms {
+                self.accesses.push_back((record.accessed_ms, key));
+            } else if let Submission::Ended(ended) = &record.submission {
                 let summary = summary::Summary::from(ended.as_ref());
-                line.submission = Submission::Summary(Box::new(summary));
+                record.submission = Submission::Summary(Box::new(summary));
             }
         }
     }
 
-    /// Begins another epoch when it is time, and forgets what may be forgotten:
-    /// what is over, and whose ticket would be refused if it came again.
+    /// Starts a new epoch once the current one has lasted `retain_ms`, and then drops the
+    /// ended submissions whose ticket would be refused if it came again.
     pub fn advance(&mut self, now_ms: u64, retain_ms: u64) {
         if !self.epochs.advance(now_ms, retain_ms) {
             return;
         }
         let epochs = self.epochs;
         let refusals = &mut self.refusals;
-        self.lines.retain(|_, line| {
-            let is_open = matches!(line.submission, Submission::Open(_));
-            let is_kept = is_open || epochs.contains(line.tag);
+        self.records.retain(|_, record| {
+            let is_open = matches!(record.submission, Submission::Open(_));
+            let is_kept = is_open || epochs.contains(record.tag);
             if !is_kept {
-                *refusals -= usize::from(line.is_refusal);
+                *refusals -= usize::from(record.is_refusal);
             }
             is_kept
         });
-        let lines = &self.lines;
-        self.names.retain(|_, key| lines.contains_key(*key));
+        let records = &self.records;
+        self.by_id.retain(|_, key| records.contains_key(*key));
     }
 }
--- a/tests/unit/due.rs
+++ b/tests/unit/due.rs
@@ -1,4 +1,4 @@
-//! When submissions are due, against a look through all of them.
+//! Index of due submissions, compared with a scan of all submissions.
 
 use std::collections;
 
@@ -18,7 +18,7 @@
 const SETTLE_MS: u64 = 200;
 const KINDS: [&str; 3] = ["fit", "trace", "copy"];
 
-/// A task's kind, by its place in [`KINDS`], and its declared run time.
+/// Index of a task's kind in [`KINDS`], and its declared run time in milliseconds.
 type Task = (usize, u32);
 
 #[derive(Clone, Debug, PartialEq)]
@@ -50,7 +50,7 @@
     ]
 }
 
-/// Estimates as the learning slice gives them: the mean, or the declared time scaled.
+/// Learned run times: the mean of a kind, or the scaled declared run time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Learned {
     means: [Option<u64>; 3],
@@ -70,14 +70,14 @@
     }
 }
 
-struct Sut {
+struct Tester {
     table: jobs::Table,
     keys: Vec<jobs::Key>,
     learned: Learned,
     now_ms: u64,
 }
 
-impl Sut {
+impl Tester {
     fn new() -> Self {
         Self {
             table: jobs::Table::new(0),
@@ -132,14 +132,14 @@
         self.keys.push(key);
     }
 
-    /// Keys of the open submissions for which that is true, by a look at each.
+    /// Scans all open submissions and returns the keys of those that match.
     fn scan(&self, is_due: impl Fn(&jobs::Open) -> bool) -> collections::BTreeSet<jobs::Key> {
         let keys = self.table.open_keys().into_iter();
         let is_due = |key: &jobs::Key| self.table.open_at(*key).is_some_and(&is_due);
         keys.filter(is_due).collect()
     }
 
-    /// Less time left than half of what its longest task with a learned time takes.
+    /// Whether the remaining time is below half of the longest learned run time of its tasks.
     fn is_near(&self, open: &jobs::Open) -> bool {
         let learned = |task: &api::Task| self.learned.run_ms(&task.kind, task.run_ms.into());
         let longest = open.tasks.iter().filter_map(learned).max();
@@ -147,11 +147,11 @@
         open.give_up_reason().is_none() && longest.is_some_and(|longest| left_ms < longest / 2)
     }
 
-    fn naive_overdue(&self) -> collections::BTreeSet<jobs::Key> {
+    fn expected_overdue(&self) -> collections::BTreeSet<jobs::Key> {
         self.scan(|open| open.give_up_reason().is_none() && open.header.deadline_ms <= self.now_ms)
     }
 
-    fn naive_unsettled(&self) -> collections::BTreeSet<jobs::Key> {
+    fn expected_unsettled(&self) -> collections::BTreeSet<jobs::Key> {
         let is_due = |reason: jobs::GiveUpReason| reason.at_ms + SETTLE_MS <= self.now_ms;
         self.scan(|open| open.give_up_reason().is_some_and(is_due))
     }
@@ -162,8 +162,8 @@
         due.unwrap_or_default().into_iter().collect()
     }
 
-    /// What [`jobs::due::DueIndex::near_deadline`] gives, of which the entry then looks at each.
-    fn nearing(&self) -> collections::BTreeSet<jobs::Key> {
+    /// Returns the result of [`jobs::due::DueIndex::near_deadline`], filtered as an entry does.
+    fn near_deadline(&self) -> collections::BTreeSet<jobs::Key> {
         let learned_ms =
             |_: &SmolStr, kind: &SmolStr, declared_ms| self.learned.run_ms(kind, declared_ms);
         let found = self
@@ -186,26 +186,30 @@
     }
 }
 
-// Submissions come, are given up, end and go on waiting while what their tasks take is
-// learned anew. What a user would see if one were passed over: no answer at its deadline.
+// A submission that the index misses gets no answer at its deadline. Here submissions are
+// added, given up, settled and left waiting while the learned run times change.
 #[test]
-fn what_is_due_equals_a_look_through_all() {
+fn due_submissions_equal_a_scan_of_all_submissions() {
     let steps = collection::vec(any_step(), 1..120);
     let mut runner = test_runner::TestRunner::new(fixed::cases(400));
 
-    let verdict = runner.run(&steps, |steps| {
-        let mut sut = Sut::new();
+    let result = runner.run(&steps, |steps| {
+        let mut tester = Tester::new();
         for step in &steps {
-            sut.step(step);
-            let overdue: collections::BTreeSet<_> =
-                sut.table.due().overdue(sut.now_ms).into_iter().collect();
-            let near = sut.scan(|open| sut.is_near(open));
-            prop_assert_eq!(&overdue, &sut.naive_overdue());
-            prop_assert_eq!(sut.unsettled(), sut.naive_unsettled());
-            prop_assert_eq!(sut.nearing(), near);
+            tester.step(step);
+            let overdue: collections::BTreeSet<_> = tester
+                .table
+                .due()
+                .overdue(tester.now_ms)
+                .into_iter()
+                .collect();
+            let near = tester.scan(|open| tester.is_near(open));
+            prop_assert_eq!(&overdue, &tester.expected_overdue());
+            prop_assert_eq!(tester.unsettled(), tester.expected_unsettled());
+            prop_assert_eq!(tester.near_deadline(), near);
         }
         Ok(())
     });
 
-    assert_eq!(verdict, Ok(()));
+    assert_eq!(result, Ok(()));
 }
--- a/tests/unit/jobs.rs
+++ b/tests/unit/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs and their answers, against a naive list of fates.
+//! Submissions and their answers, compared with a plain list of task outcomes.
 
 use bulrushtiller::api;
 use bulrushtiller::codes;
@@ -74,10 +74,10 @@
     }
 }
 
-/// What was done to each task: the first decision stands, and what was lost once is
-/// never "not run".
+/// Expected outcome of a task: the first decision counts, and a task that was lost once never ends
+/// as "not run".
 #[derive(Clone, Copy, Default)]
-struct Naive {
+struct Model {
     is_lost: bool,
     fate: Option<api::Fate>,
 }
@@ -88,7 +88,7 @@
         header(1),
         vec![api::Task::default(); tasks],
     ));
-    let mut naive = vec![Naive::default(); tasks];
+    let mut model = vec![Model::default(); tasks];
     for step in steps {
         let index = step.index();
         let open = table.open_mut(key).expect("it is open");
@@ -100,26 +100,26 @@
                 };
                 open.dispatched(index, attempt);
             }
-            Step::Lost(at) if at < tasks && naive[at].fate.is_none() => {
+            Step::Lost(at) if at < tasks && model[at].fate.is_none() => {
                 open.lost(index, codes::Code::RunnerLost, None);
-                naive[at].is_lost = true;
+                model[at].is_lost = true;
             }
             Step::Decided(at, fate) if at < tasks => {
                 open.decide(1, index, decided(fate, at));
-                let truth = match fate {
-                    api::Fate::NotRun if naive[at].is_lost => api::Fate::MayHaveRun,
+                let outcome = match fate {
+                    api::Fate::NotRun if model[at].is_lost => api::Fate::MayHaveRun,
                     fate => fate,
                 };
-                naive[at].fate.get_or_insert(truth);
+                model[at].fate.get_or_insert(outcome);
             }
             _ => {}
         }
         let answer = table.settle(key, 2);
-        let fates: Option<Vec<_>> = naive.iter().map(|one| one.fate).collect();
+        let fates: Option<Vec<_>> = model.iter().map(|one| one.fate).collect();
         prop_assert_eq!(
             answer.is_some(),
             fates.is_some(),
-            "an answer before the end"
+            "answered before all tasks were decided"
         );
         let (Some(answer), Some(fates)) = (answer, fates) else {
             continue;
@@ -130,7 +130,7 @@
 }
 
 fn check(answer: &api::Answer, fates: &[api::Fate]) -> Result<(), test_runner::TestCaseError> {
-    let told: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
+    let answered: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
     let all = |wanted| fates.iter().all(|fate| *fate == wanted);
     let any = |wanted| fates.contains(&wanted);
     let expected = if all(api::Fate::Ran) {
@@ -142,7 +142,7 @@
     } else {
         codes::Class::Failed
     };
-    prop_assert_eq!(&told, fates);
+    prop_assert_eq!(&answered, fates);
     prop_assert_eq!(answer.code.class(), expected);
     for (index, task) in answer.tasks.iter().enumerate() {
         let output = (expected == codes::Class::Complete).then(|| format!("output-{index}"));
@@ -152,10 +152,10 @@
     Ok(())
 }
 
-// Tasks end in any order, are lost and decided twice. What a user would see if this went
-// wrong: part of a job's outputs, or "not run" of an enrolment that may have been made.
+// A wrong answer would hold only some outputs of a job, or say "not run" of a task that may
+// have run. Here tasks end in any order, are lost and are decided twice.
 #[test]
-fn answer_equals_the_naive_one_and_is_never_partial() {
+fn answer_has_the_outcomes_of_all_tasks_and_is_never_partial() {
     let mut runner = fixtures::fixed_runner(2_000);
     let schedule = (1_usize..5, proptest::collection::vec(any_step(), 1..40));
 
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn refusals_are_remembered_within_a_bound_and_then_forgotten() {
+fn refusals_are_remembered_up_to_the_limit_and_dropped_with_their_epoch() {
     let mut table = jobs::Table::new(0);
     let answer = |header: &jobs::Header| {
         let id = Some(header.id.clone());
@@ -185,10 +185,10 @@
 
     assert_eq!(remembered, jobs::table::MAX_REFUSALS);
     assert!(is_found);
-    assert_eq!(len, 0, "refusals take no room from submissions");
+    assert_eq!(len, 0, "refusals count against the submissions");
     assert_eq!(table.find(&first.team, &first.id), None);
     assert!(
         table.insert_refusal(first.clone(), answer(&first)),
-        "there is room again"
+        "no refusal is remembered after the others were dropped"
     );
 }
