--- a/src/admission/drain.rs
+++ b/src/admission/drain.rs
@@ -1,64 +1,67 @@
-//! How fast an entry's work is really done.
+//! Rate at which an entry works off its backlog.
 //!
-//! The rate is expected slot time completed in a millisecond, so run times that are
-//! expected too long or too short cancel out of the foreseen wait. Without a backlog
-//! the rate done is only the rate asked for, so it counts only over windows in which
-//! work waited all the time; else the slots that the entry could use stand for it.
+//! The rate is the expected slot time of the tasks that end per millisecond. The backlog is
+//! measured in expected slot time too, so estimates that are off by a factor cancel out of
+//! the predicted wait. Without a backlog the completion rate only reflects the arrival rate,
+//! so the rate is measured only over windows in which work waited all the time. Otherwise
+//! the number of slots that the entry can use takes its place.
 
-/// Length of a window, in milliseconds: some tens of tasks of 0.3 s end on 88 slots
-/// shared by three entries.
+/// Length of a measurement window, in milliseconds.
+///
+/// On 88 slots shared by three entries, some tens of tasks of 0.3 s end within a window.
 pub const WINDOW_MS: u64 = 500;
 
-/// Weight of the newest window: smoothing over about four, 2 s.
-const NEWEST: f64 = 0.25;
+/// Weight of the newest window, which smooths over about four windows, or 2 s.
+const NEWEST_WEIGHT: f64 = 0.25;
 
-/// The drain rate of one entry.
+/// Drain rate of one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainRate {
     rate: f64,
     slots: f64,
-    began_ms: u64,
+    window_start_ms: u64,
+    /// Expected slot time of the tasks that ended in the window.
     done_ms: u64,
     is_backlogged: bool,
 }
 
 impl DrainRate {
-    /// Starts with nothing measured.
+    /// Creates a rate without measurements.
     pub const fn new(now_ms: u64) -> Self {
         Self {
             rate: 0.0,
             slots: 0.0,
-            began_ms: now_ms,
+            window_start_ms: now_ms,
             done_ms: 0,
             is_backlogged: false,
         }
     }
 
-    /// A task ended that was expected to take so long.
+    /// Records the end of a task with this expected slot time.
     pub const fn task_ended(&mut self, expected_ms: u64) {
         self.done_ms += expected_ms;
     }
 
-    /// Time passes: `slots` could be used now, and perhaps work waits.
+    /// Updates the rate once per window; `slots` is the number of slots that the entry can use now.
     pub fn tick(&mut self, now_ms: u64, slots: f64, is_backlogged: bool) {
         self.is_backlogged &= is_backlogged;
         self.slots = slots;
-        let elapsed = now_ms.saturating_sub(self.began_ms);
+        let elapsed = now_ms.saturating_sub(self.window_start_ms);
         if elapsed < WINDOW_MS {
             return;
         }
         if self.is_backlogged && self.rate > 0.0 {
-            let seen = self.done_ms as f64 / elapsed as f64;
-            self.rate += NEWEST * (seen - self.rate);
+            let measured = self.done_ms as f64 / elapsed as f64;
+            self.rate += NEWEST_WEIGHT * (measured - self.rate);
         } else {
             self.rate = slots;
         }
-        self.began_ms = now_ms;
+        self.window_start_ms = now_ms;
         self.done_ms = 0;
         self.is_backlogged = is_backlogged;
     }
 
-    /// Slot time done in a millisecond; without a backlog, what the slots could do.
+    /// Returns the slot time completed per millisecond; without a backlog, the usable slots.
     pub const fn rate(&self) -> f64 {
         if self.is_backlogged && self.rate > 0.0 {
             self.rate
@@ -67,7 +70,7 @@
         }
     }
 
-    /// Slots that could be used when the time was last looked at.
+    /// Returns the number of usable slots at the last tick.
     pub const fn slots(&self) -> f64 {
         self.slots
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,12 +1,11 @@
-//! Whom to refuse, and when to come back.
+//! Admission control: which submissions are refused, and when they should be retried.
 //!
-//! Load pattern answered: more work than the slots can do, for longer than a moment.
-//! Without it the queue grows until everything in it is late when it starts: all
-//! slots are busy and nothing of what they do is of use any more. What is refused is
-//! refused at once and never queued, so "not run" is true.
+//! Under sustained overload an unbounded queue grows until every task starts too late: all
+//! slots are busy with work that is of no use any more. A refused submission is refused at
+//! once and never queued, so that "not run" is true.
 //!
-//! The wait is foreseen from the drain rate ([`drain`]) and the team's fair share of
-//! it; the time to come back from a virtual queue of the refused ([`retry_after`]).
+//! The wait is predicted from the drain rate ([`drain`]) and the team's fair share of it,
+//! the retry time from a virtual queue of the refused work ([`retry_after`]).
 
 pub mod drain;
 pub mod retry_after;
@@ -16,73 +15,74 @@
 use crate::settings;
 use crate::wire;
 
-/// Part of its deadline within which a submission must be foreseen to be answered.
+/// Fraction of its deadline within which a submission must be predicted to be answered.
 ///
-/// The rest is for what can't be foreseen: a queue that is let grow up to the deadline
-/// has its jobs begun and then cut off. A greater part lets callers wait longer for the same
-/// work done.
-pub const DEADLINE_PART: f64 = 0.5;
+/// The rest is a margin for prediction errors: if the queue may grow up to the deadline, jobs
+/// are started and then stopped at it. A greater fraction makes callers wait longer for the
+/// same amount of completed work.
+pub const DEADLINE_FRACTION: f64 = 0.5;
 
-/// A submission as it looks to admission.
+/// Work that a submission asks for.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
-    /// Tasks.
+    /// Number of tasks.
     pub tasks: usize,
     /// Expected slot time of all its tasks, in milliseconds.
     pub work_ms: u64,
-    /// Expected run time of its longest task, where it was learned; what is only
-    /// declared does not count against a deadline.
+    /// Learned run time of its longest task, in milliseconds. `None` if the run time is only
+    /// declared, which does not count against the deadline.
     pub learned_longest_ms: Option<u64>,
-    /// Milliseconds until its deadline.
+    /// Time until its deadline, in milliseconds.
     pub deadline_ms: u64,
 }
 
-/// The entry's queues as they look to one decision.
+/// State of an entry's queues for one admission decision.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadSnapshot {
-    /// Tasks that wait, of all teams.
+    /// Number of waiting tasks of all teams.
     pub queued: usize,
-    /// Tasks that wait, of the team.
+    /// Number of waiting tasks of the team.
     pub team_queued: usize,
-    /// Expected slot time of all that waits, in milliseconds.
+    /// Expected slot time of all waiting tasks, in milliseconds.
     pub backlog_ms: u64,
-    /// The same of the team.
+    /// Expected slot time of the team's waiting tasks, in milliseconds.
     pub team_backlog_ms: u64,
-    /// The team's part of the slots beside the others that want them now.
+    /// The team's fraction of the slots among the teams that have waiting tasks.
     pub share: f64,
-    /// Slot time done in a millisecond, see [`drain::DrainRate`].
+    /// Slot time completed per millisecond, see [`drain::DrainRate`].
     pub drain_rate: f64,
-    /// For how long there was no runner in service, in milliseconds; 0: there is one.
+    /// Time without any runner in service, in milliseconds; 0 if there is one.
     pub no_runner_ms: u64,
 }
 
 impl LoadSnapshot {
-    /// Milliseconds until so much more work of the team would be done.
+    /// Predicts when `extra_ms` of additional work of the team would be done, in milliseconds
+    /// from now.
     ///
-    /// The team gets its share of the rate while the others want theirs, and no less
-    /// than all of what is left once they are done; so it waits for the lesser of
-    /// its own backlog at its share and the whole backlog at the whole rate.
-    pub fn wait_ms(&self, more_ms: u64) -> f64 {
+    /// The team gets its share of the rate while other teams have work, and the whole rate
+    /// once they have none. So it waits for its own backlog at its share or for the whole
+    /// backlog at the whole rate, whichever takes less time.
+    pub fn wait_ms(&self, extra_ms: u64) -> f64 {
         let rate = self.drain_rate.max(f64::EPSILON);
-        let own = (self.team_backlog_ms + more_ms) as f64 / (rate * self.share.max(f64::EPSILON));
-        let all = (self.backlog_ms + more_ms) as f64 / rate;
+        let own = (self.team_backlog_ms + extra_ms) as f64 / (rate * self.share.max(f64::EPSILON));
+        let all = (self.backlog_ms + extra_ms) as f64 / rate;
         own.min(all)
     }
 }
 
-/// Whether no worker known could ever hold one of the tasks.
+/// Whether one of the tasks is too large for every known worker.
 ///
-/// Workers of any state count, also of zones that are out: they may come back. Where
-/// none is known nothing is said.
+/// Workers in any state count, also those in zones that are out of service, since they may
+/// return. Returns `false` if no worker is known.
 pub fn never_fits(needs: &[wire::Resources], sizes: &[wire::Resources]) -> bool {
     let fits = |need: &wire::Resources| sizes.iter().any(|size| need.fits_in(size));
     !sizes.is_empty() && !needs.iter().all(fits)
 }
 
-/// Why a submission is not taken in, or `None`.
+/// Returns the code with which a submission is refused, or `None` if it is accepted.
 pub fn refusal(
-    asked: &Demand,
-    view: &LoadSnapshot,
+    demand: &Demand,
+    load: &LoadSnapshot,
     team: &settings::Team,
     settings: &settings::Settings,
 ) -> Option<codes::Code> {
@@ -92,52 +92,54 @@
         timeouts,
         ..
     } = settings;
-    if asked.tasks > team.max_queued as usize {
+    if demand.tasks > team.max_queued as usize {
         return Some(codes::Code::OverQuota);
     }
-    // A moment without any runner passes by (a settings change, a lost heartbeat);
-    // after the silence that means death, waiting for one would only use up deadlines.
-    if view.no_runner_ms > u64::from(timeouts.dead_after_ms) {
+    // A settings change or a lost heartbeat can leave no runner for a moment. After the time
+    // at which silent processes count as dead, waiting for one would only use up deadlines.
+    if load.no_runner_ms > u64::from(timeouts.dead_after_ms) {
         return Some(codes::Code::NoCapacity);
     }
-    if view.queued + asked.tasks > limits.max_queued as usize {
+    if load.queued + demand.tasks > limits.max_queued as usize {
         return Some(codes::Code::EntryQueueFull);
     }
-    if view.team_queued + asked.tasks > team.max_queued as usize {
+    if load.team_queued + demand.tasks > team.max_queued as usize {
         return Some(codes::Code::TeamQueueFull);
     }
-    if view.no_runner_ms > 0 {
+    if load.no_runner_ms > 0 {
         return None;
     }
-    let answered_ms = view.wait_ms(asked.work_ms) + asked.learned_longest_ms.unwrap_or(0) as f64;
-    let allowed_ms = asked.deadline_ms as f64 * DEADLINE_PART;
-    if view.backlog_ms > 0 && answered_ms > allowed_ms {
+    let predicted_ms = load.wait_ms(demand.work_ms) + demand.learned_longest_ms.unwrap_or(0) as f64;
+    let allowed_ms = demand.deadline_ms as f64 * DEADLINE_FRACTION;
+    if load.backlog_ms > 0 && predicted_ms > allowed_ms {
         return Some(codes::Code::DeadlineUnreachable);
     }
-    let is_too_long = view.wait_ms(0) > f64::from(policy.max_queue_wait_ms);
+    let is_too_long = load.wait_ms(0) > f64::from(policy.max_queue_wait_ms);
     is_too_long.then_some(codes::Code::TeamQueueFull)
 }
 
-/// Whether a submission that waits, nothing of it started, can't meet its deadline
-/// even if it started now.
+/// Whether a submission with no started task cannot meet its deadline even if it started now.
 ///
-/// Only a learned run time counts, and only half of it: run times within a kind
-/// spread, and what might still be in time is not given up.
+/// Only learned run times count, and only by half: the run times of a kind vary, and a
+/// submission that might still be in time is not given up.
 pub const fn is_infeasible(left_ms: u64, learned_longest_ms: Option<u64>) -> bool {
     match learned_longest_ms {
-        Some(longest) => left_ms < longest / 2,
+        Some(longest_ms) => left_ms < longest_ms / 2,
         None => false,
     }
 }
 
-/// The shape of a submission's tasks, from the expected run time of each and whether
-/// it was learned.
-pub fn demand(tasks: &[api::Task], expected: &[(u64, bool)], deadline_ms: u64) -> Demand {
+/// Returns the demand of a submission.
+///
+/// `expected` holds the expected run time of each task and whether it was learned.
+pub fn demand_of(tasks: &[api::Task], expected: &[(u64, bool)], deadline_ms: u64) -> Demand {
     let longest = expected.iter().max_by_key(|(ms, _)| *ms);
     Demand {
         tasks: tasks.len(),
         work_ms: expected.iter().map(|(ms, _)| ms).sum(),
-        learned_longest_ms: longest.filter(|(_, known)| *known).map(|(ms, _)| *ms),
+        learned_longest_ms: longest
+            .filter(|(_, is_learned)| *is_learned)
+            .map(|(ms, _)| *ms),
         deadline_ms,
     }
 }
--- a/src/admission/retry_after.rs
+++ b/src/admission/retry_after.rs
@@ -1,17 +1,18 @@
-//! When the refused should come back.
+//! Retry times for refused submissions.
 //!
-//! Told the same time, all the refused of an overload return together and are refused
-//! together. So each is told when its turn would come: behind what waits, and behind
-//! those of its team that were refused before it and are expected back. A random part
-//! keeps callers that were refused within one moment apart.
+//! If all refused callers got the same retry time, they would return together and be refused
+//! together. So each retry time is the predicted wait behind the queued work and behind the
+//! work of the team that was refused before and is expected back. A random part spreads
+//! callers that are refused at the same moment.
 
 use crate::queue;
 
-/// Least time to stay away, in milliseconds: some windows of the drain rate's noise
-/// would pass before an earlier return could find anything changed.
+/// Shortest retry time without the random part, in milliseconds.
+///
+/// Within less time the load changes by less than the noise of the drain rate.
 pub const MIN_MS: u64 = 200;
-/// Longest time to stay away, in milliseconds: whoever waits longer knows better from
-/// asking again.
+/// Longest retry time without the random part, in milliseconds; for longer waits a new request
+/// gives a better prediction.
 pub const MAX_MS: u64 = 10_000;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,17 +21,17 @@
     at_ms: u64,
 }
 
-/// Work refused lately and expected back, by team.
+/// Recently refused work that is expected back, by team.
 #[derive(Debug, Default)]
 pub struct RefusedWork {
     teams: slotmap::SecondaryMap<queue::TeamKey, Refused>,
 }
 
 impl RefusedWork {
-    /// When to come back with so much work, in milliseconds from now.
+    /// Records refused work and returns its retry time, in milliseconds from now.
     ///
-    /// `rate` is the slot time a millisecond that the team can count on, `excess_ms`
-    /// how much longer than allowed the wait would be, and `draw` a random number.
+    /// `rate` is the slot time per millisecond that the team can expect, `excess_ms` the part
+    /// of the predicted wait beyond the allowed one, and `draw` a random number.
     pub fn retry_after_ms(
         &mut self,
         now_ms: u64,
@@ -41,36 +42,37 @@
         draw: u64,
     ) -> u64 {
         let rate = rate.max(f64::EPSILON);
-        let before = self.drained(now_ms, team, rate);
-        let after = before + work_ms as f64;
+        let earlier_ms = self.remaining_ms(now_ms, team, rate);
+        let total_ms = earlier_ms + work_ms as f64;
         let refused = Refused {
-            work_ms: after.min(rate * MAX_MS as f64),
+            work_ms: total_ms.min(rate * MAX_MS as f64),
             at_ms: now_ms,
         };
         self.teams.insert(team, refused);
-        let base = clamp(excess_ms.max(0.0) + after / rate);
-        base + draw % (base / 2 + 1)
+        let base_ms = clamp_ms(excess_ms.max(0.0) + total_ms / rate);
+        base_ms + draw % (base_ms / 2 + 1)
     }
 
-    fn drained(&self, now_ms: u64, team: queue::TeamKey, rate: f64) -> f64 {
+    /// Returns the refused work of a team that has not drained since.
+    fn remaining_ms(&self, now_ms: u64, team: queue::TeamKey, rate: f64) -> f64 {
         let Some(refused) = self.teams.get(team) else {
             return 0.0;
         };
-        let elapsed = now_ms.saturating_sub(refused.at_ms) as f64;
-        (refused.work_ms - elapsed * rate).max(0.0)
+        let elapsed_ms = now_ms.saturating_sub(refused.at_ms) as f64;
+        (refused.work_ms - elapsed_ms * rate).max(0.0)
     }
 
-    /// Forgets teams that are gone.
+    /// Drops the teams for which `is_kept` returns `false`.
     pub fn retain(&mut self, is_kept: impl Fn(queue::TeamKey) -> bool) {
         self.teams.retain(|key, _| is_kept(key));
     }
 
-    /// For how many teams something is remembered.
+    /// Number of teams with refused work.
     pub fn len(&self) -> usize {
         self.teams.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no team has refused work.
     pub fn is_empty(&self) -> bool {
         self.teams.is_empty()
     }
@@ -81,6 +83,6 @@
     clippy::cast_sign_loss,
     reason = "clamped to small positive numbers"
 )]
-fn clamp(ms: f64) -> u64 {
+fn clamp_ms(ms: f64) -> u64 {
     ms.clamp(MIN_MS as f64, MAX_MS as f64) as u64
 }
--- a/src/entry/load.rs
+++ b/src/entry/load.rs
@@ -66,7 +66,7 @@
         let expected: Vec<_> = submission.tasks.iter().map(estimate).collect();
         let deadline_ms = submission.deadline_ms;
         let deadline_ms = deadline_ms.unwrap_or_else(|| self.settings.timeouts.deadline_ms.into());
-        admission::demand(&submission.tasks, &expected, deadline_ms)
+        admission::demand_of(&submission.tasks, &expected, deadline_ms)
     }
 
     fn admission_code(
--- a/src/queue/mod.rs
+++ b/src/queue/mod.rs
@@ -1,11 +1,11 @@
-//! Tasks that wait at an entry, and whose turn it is.
+//! Queue of the tasks that wait at an entry.
 //!
-//! Load patterns answered: a hot caller beside well-behaved teams, long tasks among
-//! short ones, bursts, and waves of cancellations. Between teams the slot time is
-//! shared by weight ([`share`]); within a team the jobs go by the time at which they
-//! should start ([`order`]). Without the first a team that sends ten times its share
-//! gets ten times the slots; without the second a task of 50 ms waits behind minutes
-//! of others. Nothing here looks at a clock. `docs/DECISIONS.md` has the figures.
+//! Slot time is shared between teams by weight ([`share`]); within a team, tasks are ordered
+//! by the time at which they should start ([`order`]). Without the shares a team that submits
+//! ten times its share gets ten times the slots; without the order a task of 50 ms waits
+//! behind minutes of other work. Both hold under a hot caller, a mix of long and short tasks,
+//! bursts and waves of cancellations. The queue does not read the clock.
+//! `docs/DECISIONS.md` has the measurements.
 
 pub mod order;
 pub mod share;
@@ -19,22 +19,22 @@
 
 pub use share::TeamKey;
 
-/// One waiting task.
+/// A waiting task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Item {
-    /// Which.
+    /// The task.
     pub task: jobs::TaskKey,
-    /// Who pays.
+    /// Team that is charged for its slot time.
     pub team: TeamKey,
     /// Expected run time in milliseconds.
     pub expected_ms: u64,
-    /// Its place within its team, see [`order::rank_ms`]; the least goes first. A
-    /// task that comes back unstarted has the same rank again, and so its place.
+    /// Rank within the team, least first, see [`order::rank_ms`]. A task that comes back
+    /// unstarted keeps its rank, and so its position.
     pub rank_ms: u64,
 }
 
-/// Place of a task within its team's line.
-type Place = (u64, jobs::Key, u32);
+/// Rank, submission and index, by which the tasks of a team are sorted.
+type Position = (u64, jobs::Key, u32);
 
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
@@ -45,50 +45,50 @@
 
 /// All waiting tasks of one entry.
 ///
-/// It takes whatever is pushed; [`crate::admission`] keeps it within its bounds.
+/// The queue itself is unbounded; [`crate::admission`] limits what is pushed.
 #[derive(Debug, Default)]
 pub struct Queue {
     teams: share::Teams,
-    lines: slotmap::SecondaryMap<TeamKey, collections::BTreeSet<Place>>,
-    /// By submission, so that one is removed in the time of its own tasks.
+    by_team: slotmap::SecondaryMap<TeamKey, collections::BTreeSet<Position>>,
+    /// Sorted by submission, so that removing one costs only its own tasks.
     waiting: collections::BTreeMap<(jobs::Key, u32), Waiting>,
     backlog_ms: u64,
 }
 
 impl Queue {
-    /// Takes over weights and quotas.
+    /// Applies the weights and quotas of the settings.
     pub fn configure(&mut self, teams: &collections::BTreeMap<SmolStr, settings::Team>) {
         self.teams.configure(teams);
         let known = &self.teams;
-        self.lines.retain(|key, _| known.get(key).is_some());
+        self.by_team.retain(|key, _| known.get(key).is_some());
     }
 
-    /// The key of a team.
+    /// Returns the key of a team, which is added if it is unknown.
     pub fn team_key(&mut self, name: &SmolStr) -> TeamKey {
         self.teams.key(name)
     }
 
-    /// The teams, their shares and what waits for each.
+    /// Returns the teams with their shares and backlogs.
     pub const fn teams(&self) -> &share::Teams {
         &self.teams
     }
 
-    /// How many wait.
+    /// Number of waiting tasks.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no task waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Slot time that all waiting tasks are expected to take, in milliseconds.
+    /// Expected slot time of all waiting tasks, in milliseconds.
     pub const fn backlog_ms(&self) -> u64 {
         self.backlog_ms
     }
 
-    /// Adds a task; one that waits already is not added twice.
+    /// Adds a task unless it is waiting already.
     pub fn push(&mut self, item: Item) {
         let team = self.teams.get(item.team);
         if team.is_some_and(|team| team.waiting == 0) {
@@ -98,8 +98,8 @@
     }
 
     fn insert(&mut self, item: Item) {
-        let at = (item.task.submission, item.task.index);
-        if self.waiting.contains_key(&at) {
+        let id = (item.task.submission, item.task.index);
+        if self.waiting.contains_key(&id) {
             return;
         }
         let Item {
@@ -108,54 +108,54 @@
             rank_ms,
             ..
         } = item;
-        let Some(line) = self.lines.entry(team) else {
+        let Some(tasks) = self.by_team.entry(team) else {
             return;
         };
-        line.or_default().insert((rank_ms, at.0, at.1));
+        tasks.or_default().insert((rank_ms, id.0, id.1));
         let waiting = Waiting {
             team,
             expected_ms,
             rank_ms,
         };
-        self.waiting.insert(at, waiting);
+        self.waiting.insert(id, waiting);
         self.backlog_ms += expected_ms;
-        self.teams.arrived(team, expected_ms);
+        self.teams.task_added(team, expected_ms);
     }
 
-    /// Takes the task whose turn it is and counts it as running; `None` when nothing
-    /// waits but tasks of teams at their quota.
+    /// Removes the next task and counts it as running.
     ///
-    /// What becomes of it is told by [`Self::put_back`], or by [`Self::started`] and
-    /// later [`Self::released`].
+    /// Returns `None` if no task waits, or only tasks of teams at their quota. The caller has
+    /// to report the result: [`Self::put_back`] or [`Self::refund`] if the task was not sent,
+    /// or else [`Self::started`] and later [`Self::released`].
     pub fn pop(&mut self) -> Option<Item> {
         let team = self.teams.next()?;
-        let (_, submission, index) = *self.lines.get(team)?.first()?;
-        let item = self.take(submission, index)?;
-        self.teams.taken(team, item.expected_ms);
+        let (_, submission, index) = *self.by_team.get(team)?.first()?;
+        let item = self.remove_task(submission, index)?;
+        self.teams.popped(team, item.expected_ms);
         Some(item)
     }
 
-    /// Puts back a task just popped, as if it had not been.
+    /// Puts a popped task back and reverts the charge.
     pub fn put_back(&mut self, item: Item) {
         self.refund(&item);
         self.insert(item);
     }
 
-    /// A popped task will not run: its team gets back what it was charged.
+    /// Refunds the charge for a popped task that will not run.
     pub fn refund(&mut self, item: &Item) {
         self.teams.released(item.team);
         self.teams.adjust_charge(item.team, item.expected_ms, 0);
     }
 
-    /// A popped task was handed out.
+    /// Records that a popped task was sent to a runner.
     pub fn started(&mut self, item: &Item) {
         self.teams.started(item.team, item.expected_ms);
     }
 
-    /// A task that was handed out is not running any more.
+    /// Records that a started task is no longer running.
     ///
-    /// A team that was at its quota saved up no turns by that: else it would take all
-    /// slots for a while as soon as its quota is raised.
+    /// A team that was at its quota earns no credit for the time it could not use; otherwise
+    /// it would take all slots for a while as soon as its quota is raised.
     pub fn released(&mut self, team: TeamKey) {
         let was_at_quota = self.teams.get(team).is_some_and(share::Team::is_at_quota);
         self.teams.released(team);
@@ -164,32 +164,32 @@
         }
     }
 
-    /// A task took another time than its team was charged for; 0 if it did not run.
+    /// Corrects the charge for a task to its real run time in milliseconds, 0 if it did not run.
     pub fn adjust_charge(&mut self, team: TeamKey, charged_ms: u64, real_ms: u64) {
         self.teams.adjust_charge(team, charged_ms, real_ms);
     }
 
-    /// Takes out all tasks of a submission.
+    /// Removes all waiting tasks of a submission.
     pub fn remove_submission(&mut self, key: jobs::Key) -> Vec<Item> {
         let range = self.waiting.range((key, 0)..=(key, u32::MAX));
         let indices: Vec<u32> = range.map(|((_, index), _)| *index).collect();
         indices
             .into_iter()
-            .filter_map(|index| self.take(key, index))
+            .filter_map(|index| self.remove_task(key, index))
             .collect()
     }
 
-    fn take(&mut self, submission: jobs::Key, index: u32) -> Option<Item> {
+    fn remove_task(&mut self, submission: jobs::Key, index: u32) -> Option<Item> {
         let Waiting {
             team,
             expected_ms,
             rank_ms,
         } = self.waiting.remove(&(submission, index))?;
-        if let Some(line) = self.lines.get_mut(team) {
-            line.remove(&(rank_ms, submission, index));
+        if let Some(tasks) = self.by_team.get_mut(team) {
+            tasks.remove(&(rank_ms, submission, index));
         }
         self.backlog_ms -= expected_ms;
-        self.teams.left(team, expected_ms);
+        self.teams.task_removed(team, expected_ms);
         Some(Item {
             task: jobs::TaskKey { submission, index },
             team,
--- a/src/queue/share.rs
+++ b/src/queue/share.rs
@@ -1,9 +1,9 @@
-//! Whose turn it is between teams: start-time fair queuing over slot time.
+//! Shares of the teams: start-time fair queueing over slot time.
 //!
-//! Each team has a tag, the slot time it was given over its weight; the least tag
-//! goes next. A team that was idle starts at the tag of the task last handed out,
-//! so it is neither owed the time it did not use nor behind those that did. Slots
-//! are never kept for a team that has nothing waiting.
+//! Each team has a tag, the slot time it has received divided by its weight; the team with the
+//! least tag goes next. A team that was idle continues at the tag of the last started task, so
+//! it neither gets credit for unused time nor is put at a disadvantage. No slot is reserved
+//! for a team that has nothing waiting.
 
 use std::collections;
 
@@ -16,36 +16,38 @@
     pub struct TeamKey;
 }
 
-/// Units of a tag per millisecond of slot time at weight 1; divisible enough that
-/// the largest weight, 1000, still resolves a millisecond.
-const UNITS_PER_MS: u64 = 1_000;
+/// Tag units per millisecond of slot time at weight 1; fine enough that the largest weight,
+/// 1000, still resolves a millisecond.
+const TAG_UNITS_PER_MS: u64 = 1_000;
 
-/// One team's share and what it has here.
+/// Share, backlog and running tasks of one team.
 #[derive(Clone, Debug)]
 pub struct Team {
     name: SmolStr,
     weight: u64,
     max_running: u32,
+    /// Received slot time over the weight, in tag units.
     tag: u64,
-    listed: Option<u64>,
-    /// Tasks that wait.
+    /// Tag under which the team is in `Teams::ready`.
+    ready_tag: Option<u64>,
+    /// Number of waiting tasks.
     pub waiting: usize,
-    /// Expected slot time of those, in milliseconds.
+    /// Expected slot time of the waiting tasks, in milliseconds.
     pub backlog_ms: u64,
-    /// Tasks handed out.
+    /// Number of tasks that were popped and have not been released.
     pub running: u32,
 }
 
 impl Team {
     fn cost(&self, ms: u64) -> u64 {
-        ms.max(1).saturating_mul(UNITS_PER_MS) / self.weight
+        ms.max(1).saturating_mul(TAG_UNITS_PER_MS) / self.weight
     }
 
     const fn is_ready(&self) -> bool {
         self.waiting > 0 && !self.is_at_quota()
     }
 
-    /// Whether it has as much handed out as it may.
+    /// Whether the team runs as many tasks as its quota allows.
     pub(super) const fn is_at_quota(&self) -> bool {
         self.running >= self.max_running
     }
@@ -60,28 +62,29 @@
 pub struct Teams {
     teams: slotmap::SlotMap<TeamKey, Team>,
     by_name: collections::HashMap<SmolStr, TeamKey>,
-    /// Teams with something to hand out, by their tags.
+    /// Teams that have a task to start, sorted by their tags.
     ready: collections::BTreeSet<(u64, TeamKey)>,
-    /// Tag of the task last handed out.
+    /// Start tag of the last started task.
     virtual_time: u64,
 }
 
 impl Teams {
-    /// Takes over weights and quotas, and forgets idle teams that are gone.
+    /// Applies the weights and quotas of the settings, and drops idle teams that are no longer in
+    /// them.
     pub fn configure(&mut self, settings: &collections::BTreeMap<SmolStr, settings::Team>) {
         for (name, team) in settings {
             let key = self.key(name);
-            let known = &mut self.teams[key];
-            known.weight = u64::from(team.weight).max(1);
-            known.max_running = team.max_running;
-            self.refresh(key);
+            let current = &mut self.teams[key];
+            current.weight = u64::from(team.weight).max(1);
+            current.max_running = team.max_running;
+            self.update_ready(key);
         }
         let is_gone = |team: &Team| !settings.contains_key(&team.name) && team.is_idle();
         self.by_name.retain(|_, key| !is_gone(&self.teams[*key]));
         self.teams.retain(|_, team| !is_gone(team));
     }
 
-    /// The key of a team, known from the settings or not.
+    /// Returns the key of a team; a team that is not in the settings is added with defaults.
     pub fn key(&mut self, name: &SmolStr) -> TeamKey {
         if let Some(key) = self.by_name.get(name) {
             return *key;
@@ -92,7 +95,7 @@
             weight: default.weight.into(),
             max_running: default.max_running,
             tag: self.virtual_time,
-            listed: None,
+            ready_tag: None,
             waiting: 0,
             backlog_ms: 0,
             running: 0,
@@ -101,17 +104,17 @@
         key
     }
 
-    /// Finds a team by its name.
+    /// Returns a team by its name.
     pub fn find(&self, name: &str) -> Option<&Team> {
         self.get(*self.by_name.get(name)?)
     }
 
-    /// Looks at a team.
+    /// Returns a team by its key.
     pub fn get(&self, key: TeamKey) -> Option<&Team> {
         self.teams.get(key)
     }
 
-    /// The part of the slots that a team would get now, above 0 and at most 1.
+    /// Returns the fraction of the slots that a team is entitled to now, above 0 and at most 1.
     pub fn share(&self, name: &str) -> f64 {
         let own = self.find(name).map_or(1, |team| team.weight);
         let is_other = |team: &&Team| team.waiting > 0 && team.name != name;
@@ -120,60 +123,62 @@
         own as f64 / (own + others) as f64
     }
 
-    /// The team whose turn it is.
+    /// Returns the team that goes next.
     pub fn next(&self) -> Option<TeamKey> {
         self.ready.first().map(|(_, key)| *key)
     }
 
-    /// A team had nothing that it was kept from handing out: it begins again at the
-    /// virtual time, and what it did not use is not owed.
+    /// Raises the tag of a team to the virtual time, which drops the credit for slot time that
+    /// it did not use.
     pub(super) fn raise_tag(&mut self, key: TeamKey) {
         let virtual_time = self.virtual_time;
         if let Some(team) = self.teams.get_mut(key) {
             team.tag = team.tag.max(virtual_time);
         }
-        self.refresh(key);
+        self.update_ready(key);
     }
 
-    pub(super) fn arrived(&mut self, key: TeamKey, expected_ms: u64) {
+    pub(super) fn task_added(&mut self, key: TeamKey, expected_ms: u64) {
         if let Some(team) = self.teams.get_mut(key) {
             team.waiting += 1;
             team.backlog_ms += expected_ms;
         }
-        self.refresh(key);
+        self.update_ready(key);
     }
 
-    pub(super) fn left(&mut self, key: TeamKey, expected_ms: u64) {
+    pub(super) fn task_removed(&mut self, key: TeamKey, expected_ms: u64) {
         if let Some(team) = self.teams.get_mut(key) {
             team.waiting -= 1;
             team.backlog_ms -= expected_ms;
         }
-        self.refresh(key);
+        self.update_ready(key);
     }
 
-    pub(super) fn taken(&mut self, key: TeamKey, expected_ms: u64) {
+    pub(super) fn popped(&mut self, key: TeamKey, expected_ms: u64) {
         if let Some(team) = self.teams.get_mut(key) {
             team.running += 1;
             team.tag = team.tag.saturating_add(team.cost(expected_ms));
         }
-        self.refresh(key);
+        self.update_ready(key);
     }
 
-    /// Only what was really handed out moves the virtual time: a task that was
-    /// looked at and put back would else set returning teams back by its cost.
+    /// Advances the virtual time to the start tag of a started task.
+    ///
+    /// A task that was popped and put back does not advance it; otherwise its cost would
+    /// set back teams that were idle.
     pub(super) fn started(&mut self, key: TeamKey, expected_ms: u64) {
         let Some(team) = self.teams.get(key) else {
             return;
         };
-        let began = team.tag.saturating_sub(team.cost(expected_ms));
-        self.virtual_time = self.virtual_time.max(began);
+        let start_tag = team.tag.saturating_sub(team.cost(expected_ms));
+        self.virtual_time = self.virtual_time.max(start_tag);
     }
 
     pub(super) fn released(&mut self, key: TeamKey) {
         if let Some(team) = self.teams.get_mut(key) {
             team.running = team.running.saturating_sub(1);
         }
-        self.refresh(key);
+        self.update_ready(key);
     }
 
     pub(super) fn adjust_charge(&mut self, key: TeamKey, charged_ms: u64, real_ms: u64) {
@@ -182,18 +187,19 @@
             team.tag = team.tag.saturating_add(real);
             team.tag = team.tag.saturating_sub(team.cost(charged_ms));
         }
-        self.refresh(key);
+        self.update_ready(key);
     }
 
-    fn refresh(&mut self, key: TeamKey) {
+    /// Updates the position of a team in `Teams::ready`.
+    fn update_ready(&mut self, key: TeamKey) {
         let Some(team) = self.teams.get_mut(key) else {
             return;
         };
-        if let Some(tag) = team.listed.take() {
+        if let Some(tag) = team.ready_tag.take() {
             self.ready.remove(&(tag, key));
         }
         if team.is_ready() {
-            team.listed = Some(team.tag);
+            team.ready_tag = Some(team.tag);
             self.ready.insert((team.tag, key));
         }
     }
--- a/tests/unit/admission.rs
+++ b/tests/unit/admission.rs
@@ -1,4 +1,4 @@
-//! Who is refused, and when to come back.
+//! Admission decisions, drain rate and retry times.
 
 use bulrushtiller::admission;
 use bulrushtiller::admission::drain;
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 
-fn asked() -> admission::Demand {
+fn demand() -> admission::Demand {
     admission::Demand {
         tasks: 10,
         work_ms: 1_000,
@@ -19,8 +19,8 @@
     }
 }
 
-/// Alone on 10 slots, with a second of work waiting for each of them.
-fn view() -> admission::LoadSnapshot {
+/// A single team on 10 slots, with a second of waiting work for each slot.
+fn load() -> admission::LoadSnapshot {
     admission::LoadSnapshot {
         queued: 100,
         team_queued: 100,
@@ -40,43 +40,53 @@
 }
 
 #[rstest]
-#[case::taken_in(asked(), view(), None)]
-#[case::waits_too_long_for_its_deadline(
-    admission::Demand { deadline_ms: 2_400, ..asked() }, view(), Some(Code::DeadlineUnreachable))]
-#[case::a_run_time_only_declared_does_not_count(
-    admission::Demand { deadline_ms: 2_400, learned_longest_ms: None, ..asked() }, view(), None)]
-#[case::an_empty_queue_takes_what_might_be_in_time(
-    admission::Demand { deadline_ms: 10, ..asked() },
-    admission::LoadSnapshot { backlog_ms: 0, team_backlog_ms: 0, ..view() }, None)]
-#[case::waits_too_long_by_policy(
-    admission::Demand { deadline_ms: 60_000, ..asked() },
-    admission::LoadSnapshot { drain_rate: 1.0, ..view() }, Some(Code::TeamQueueFull))]
-#[case::others_backlog_counts_only_up_to_the_share(
-    asked(), admission::LoadSnapshot { backlog_ms: 900_000, team_backlog_ms: 1_000, share: 0.5, ..view() }, None)]
-#[case::larger_than_the_quota(
-    admission::Demand { tasks: 1_001, ..asked() }, view(), Some(Code::OverQuota))]
-#[case::team_full(asked(), admission::LoadSnapshot { team_queued: 991, ..view() }, Some(Code::TeamQueueFull))]
-#[case::entry_full(asked(), admission::LoadSnapshot { queued: 19_991, ..view() }, Some(Code::EntryQueueFull))]
-#[case::no_runner_for_a_moment(asked(), admission::LoadSnapshot { no_runner_ms: 2_000, ..view() }, None)]
-#[case::no_runner_for_long(
-    asked(), admission::LoadSnapshot { no_runner_ms: 3_001, ..view() }, Some(Code::NoCapacity))]
-fn a_submission_is_refused_for_its_reason(
-    #[case] asked: admission::Demand,
-    #[case] view: admission::LoadSnapshot,
+#[case::accepted(demand(), load(), None)]
+#[case::deadline_is_too_short_for_the_wait(
+    admission::Demand { deadline_ms: 2_400, ..demand() }, load(), Some(Code::DeadlineUnreachable))]
+#[case::declared_run_time_is_ignored(
+    admission::Demand { deadline_ms: 2_400, learned_longest_ms: None, ..demand() }, load(), None)]
+#[case::empty_queue_accepts_a_short_deadline(
+    admission::Demand { deadline_ms: 10, ..demand() },
+    admission::LoadSnapshot { backlog_ms: 0, team_backlog_ms: 0, ..load() }, None)]
+#[case::wait_exceeds_the_policy(
+    admission::Demand { deadline_ms: 60_000, ..demand() },
+    admission::LoadSnapshot { drain_rate: 1.0, ..load() }, Some(Code::TeamQueueFull))]
+#[case::backlog_of_others_is_limited_by_the_share(
+    demand(),
+    admission::LoadSnapshot {
+        backlog_ms: 900_000, team_backlog_ms: 1_000, share: 0.5, ..load()
+    }, None)]
+#[case::more_tasks_than_the_quota(
+    admission::Demand { tasks: 1_001, ..demand() }, load(), Some(Code::OverQuota))]
+#[case::team_queue_is_full(
+    demand(), admission::LoadSnapshot { team_queued: 991, ..load() }, Some(Code::TeamQueueFull))]
+#[case::entry_queue_is_full(
+    demand(), admission::LoadSnapshot { queued: 19_991, ..load() }, Some(Code::EntryQueueFull))]
+#[case::no_runner_for_a_short_time(
+    demand(), admission::LoadSnapshot { no_runner_ms: 2_000, ..load() }, None)]
+#[case::no_runner_for_a_long_time(
+    demand(), admission::LoadSnapshot { no_runner_ms: 3_001, ..load() }, Some(Code::NoCapacity))]
+fn submission_is_refused_with_the_expected_code(
+    #[case] demand: admission::Demand,
+    #[case] load: admission::LoadSnapshot,
     #[case] expected: Option<Code>,
 ) {
     let settings = settings::Settings::default();
 
-    let code = admission::refusal(&asked, &view, &team(), &settings);
+    let code = admission::refusal(&demand, &load, &team(), &settings);
 
     assert_eq!(code, expected);
 }
 
 #[rstest]
 #[case::no_worker_known(8_000, &[], false)]
-#[case::one_is_large_enough(8_000, &[4_000, 8_000], false)]
-#[case::none_is(8_001, &[4_000, 8_000], true)]
-fn what_fits_no_worker_is_told(#[case] cpu: u32, #[case] sizes: &[u32], #[case] expected: bool) {
+#[case::one_worker_is_large_enough(8_000, &[4_000, 8_000], false)]
+#[case::every_worker_is_too_small(8_001, &[4_000, 8_000], true)]
+fn task_larger_than_every_worker_never_fits(
+    #[case] cpu: u32,
+    #[case] sizes: &[u32],
+    #[case] expected: bool,
+) {
     let resources = |cpu_milli| wire::Resources {
         cpu_milli,
         ..wire::Resources::default()
@@ -89,22 +99,22 @@
 }
 
 #[rstest]
-#[case::only_declared(10, None, false)]
-#[case::might_be_in_time(100, Some(200), false)]
-#[case::too_late(99, Some(200), true)]
-fn a_waiting_submission_is_given_up_when_hopeless(
+#[case::run_time_is_only_declared(10, None, false)]
+#[case::half_of_the_run_time_is_left(100, Some(200), false)]
+#[case::less_than_half_of_the_run_time_is_left(99, Some(200), true)]
+fn waiting_submission_is_infeasible_below_half_of_its_run_time(
     #[case] left_ms: u64,
-    #[case] known: Option<u64>,
+    #[case] learned_ms: Option<u64>,
     #[case] expected: bool,
 ) {
-    let is_hopeless = admission::is_infeasible(left_ms, known);
+    let is_infeasible = admission::is_infeasible(left_ms, learned_ms);
 
-    assert_eq!(is_hopeless, expected);
+    assert_eq!(is_infeasible, expected);
 }
 
-/// Work of 100 ms each, expected to take `expected_ms`, ends on 8 slots while more
-/// waits or not.
-fn drained(expected_ms: u64, is_backlogged: bool) -> drain::DrainRate {
+/// Returns the drain rate after tasks of 100 ms, estimated at `expected_ms`, have run on 8 of
+/// 16 slots for 10 s.
+fn drain_rate_after_run(expected_ms: u64, is_backlogged: bool) -> drain::DrainRate {
     let mut drain = drain::DrainRate::new(0);
     for now_ms in 1..=10_000 {
         if now_ms % 100 == 0 {
@@ -118,45 +128,45 @@
 }
 
 #[rstest]
-#[case::as_expected(100, true, 8.0)]
-#[case::expected_thrice_too_long(300, true, 24.0)]
-#[case::nothing_waits(100, false, 16.0)]
-fn the_drain_rate_is_what_was_really_done(
+#[case::estimate_is_exact(100, true, 8.0)]
+#[case::estimate_is_three_times_too_long(300, true, 24.0)]
+#[case::no_backlog(100, false, 16.0)]
+fn drain_rate_is_the_completed_slot_time(
     #[case] expected_ms: u64,
     #[case] is_backlogged: bool,
     #[case] expected: f64,
 ) {
-    let rate = drained(expected_ms, is_backlogged).rate();
+    let rate = drain_rate_after_run(expected_ms, is_backlogged).rate();
 
     assert!((rate - expected).abs() < 0.1, "{rate}");
 }
 
 #[test]
-fn the_refused_are_told_to_come_back_one_after_another() {
+fn retry_times_of_refused_submissions_are_staggered_per_team() {
     let mut queue = queue::Queue::default();
     let hot = queue.team_key(&SmolStr::new("hot"));
     let other = queue.team_key(&SmolStr::new("other"));
-    let mut returning = retry_after::RefusedWork::default();
+    let mut refused = retry_after::RefusedWork::default();
 
-    let mut after = |team| returning.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
-    let hots: Vec<_> = (0..20).map(|_| after(hot)).collect();
-    let others = after(other);
+    let mut retry_ms = |team| refused.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
+    let hot_retries: Vec<_> = (0..20).map(|_| retry_ms(hot)).collect();
+    let other_retry = retry_ms(other);
 
-    assert_eq!(&hots[..3], [1_000, 2_000, 3_000]);
-    assert_eq!(hots[19], retry_after::MAX_MS);
-    assert_eq!(others, 1_000);
+    assert_eq!(&hot_retries[..3], [1_000, 2_000, 3_000]);
+    assert_eq!(hot_retries[19], retry_after::MAX_MS);
+    assert_eq!(other_retry, 1_000);
 }
 
 #[test]
-fn the_refused_are_forgotten_as_their_work_drains() {
+fn refused_work_drains_with_time() {
     let mut queue = queue::Queue::default();
     let team = queue.team_key(&SmolStr::new("hot"));
-    let mut returning = retry_after::RefusedWork::default();
+    let mut refused = retry_after::RefusedWork::default();
     for _ in 0..5 {
-        returning.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
+        refused.retry_after_ms(0, team, 1_000, 1.0, 0.0, 0);
     }
 
-    let after_ms = returning.retry_after_ms(4_000, team, 1_000, 1.0, 0.0, 0);
+    let after_ms = refused.retry_after_ms(4_000, team, 1_000, 1.0, 0.0, 0);
 
     assert_eq!(after_ms, 2_000);
 }
--- a/tests/unit/order.rs
+++ b/tests/unit/order.rs
@@ -1,4 +1,4 @@
-//! What is expected of a job as a whole.
+//! Expected run time of a job's longest task.
 
 use bulrushtiller::queue::order;
 use rand::Rng as _;
@@ -7,7 +7,7 @@
 
 const DRAWS: u32 = 20_000;
 
-fn log_even(rng: &mut rand_chacha::ChaCha8Rng) -> f64 {
+fn log_uniform(rng: &mut rand_chacha::ChaCha8Rng) -> f64 {
     50.0 * 20.0_f64.powf(rng.random::<f64>())
 }
 
@@ -20,7 +20,7 @@
     sum / f64::from(DRAWS)
 }
 
-/// The expectation and its error of a kind whose run times are drawn like that.
+/// Returns the mean and the mean absolute error of run times from a distribution.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -36,11 +36,11 @@
     }
 }
 
-/// The formula against the naive way, drawing many jobs.
+/// Compares the formula with the mean over many drawn jobs.
 #[rstest]
-#[case::spread_evenly_on_a_log_scale(log_even, 0.1)]
-#[case::exponential(exponential, 0.2)]
-fn longest_of_tasks_known_in_the_mean(
+#[case::log_uniform_run_times(log_uniform, 0.1)]
+#[case::exponential_run_times(exponential, 0.2)]
+fn longest_of_equal_estimates_is_close_to_the_drawn_mean(
     #[case] run: fn(&mut rand_chacha::ChaCha8Rng) -> f64,
     #[case] tolerance: f64,
 ) {
@@ -52,18 +52,24 @@
 
         let formula = order::longest_ms(&vec![expected; tasks]) as f64;
 
-        let off = (formula / drawn - 1.0).abs();
-        assert!(off <= tolerance, "{tasks} tasks: {formula} for {drawn}");
+        let error = (formula / drawn - 1.0).abs();
+        assert!(
+            error <= tolerance,
+            "{tasks} tasks: formula {formula}, drawn {drawn}"
+        );
     }
 }
 
 #[rstest]
-#[case::none(&[], 0)]
-#[case::one(&[(100, 50)], 100)]
-#[case::known_each(&[(100, 0), (400, 0), (400, 0)], 400)]
-#[case::the_longest_stands_out(&[(100, 90), (400, 90)], 400)]
-#[case::alike(&[(100, 50), (100, 50)], 137)]
-fn longest_where_the_others_differ(#[case] tasks: &[(u64, u64)], #[case] longest: u64) {
+#[case::no_tasks(&[], 0)]
+#[case::one_task(&[(100, 50)], 100)]
+#[case::exact_estimates(&[(100, 0), (400, 0), (400, 0)], 400)]
+#[case::one_longest_estimate(&[(100, 90), (400, 90)], 400)]
+#[case::equal_estimates(&[(100, 50), (100, 50)], 137)]
+fn longest_exceeds_the_estimate_only_among_equal_tasks(
+    #[case] tasks: &[(u64, u64)],
+    #[case] longest: u64,
+) {
     let expected = tasks.iter().map(|(run_ms, error_ms)| order::TaskEstimate {
         run_ms: *run_ms,
         error_ms: *error_ms,
--- a/tests/unit/queue.rs
+++ b/tests/unit/queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue against naive versions: exact fluid shares, and a plain list.
+//! The fair queue, compared with exact fluid shares and with a plain list.
 
 use std::collections;
 
@@ -81,24 +81,24 @@
     ]
 }
 
-/// A plain list that waits, and what runs for each team.
+/// Waiting and running tasks as plain lists.
 #[derive(Default)]
-struct Naive {
+struct Model {
     waiting: Vec<queue::Item>,
     running: Vec<queue::Item>,
 }
 
-impl Naive {
+impl Model {
     fn is_ready(&self, team: queue::TeamKey, max_running: usize) -> bool {
         let running = self.running.iter().filter(|one| one.team == team).count();
         running < max_running && self.waiting.iter().any(|one| one.team == team)
     }
 
-    /// Whether this is the first of its team's line.
+    /// Whether this is the first waiting task of its team.
     fn is_first(&self, item: &queue::Item) -> bool {
-        let place = |one: &queue::Item| (one.rank_ms, one.task.submission, one.task.index);
-        let line = self.waiting.iter().filter(|one| one.team == item.team);
-        line.map(place).min() == Some(place(item))
+        let sort_key = |one: &queue::Item| (one.rank_ms, one.task.submission, one.task.index);
+        let tasks = self.waiting.iter().filter(|one| one.team == item.team);
+        tasks.map(sort_key).min() == Some(sort_key(item))
     }
 }
 
@@ -108,17 +108,17 @@
 }
 
 #[test]
-fn nothing_is_lost_or_doubled_and_no_slot_is_kept_from_those_who_wait() {
+fn tasks_are_popped_once_in_order_whenever_a_team_is_below_its_quota() {
     let steps = proptest::collection::vec(any_step(), 1..120);
     let max_running = 3;
 
     let outcome = runner().run(&steps, |steps| {
         let mut queue = queue([1, 2, 5], 3);
-        let mut naive = Naive::default();
+        let mut model = Model::default();
         for step in steps {
-            take_step(&mut queue, &mut naive, &step, max_running)?;
-            let backlog: u64 = naive.waiting.iter().map(|one| one.expected_ms).sum();
-            prop_assert_eq!(queue.len(), naive.waiting.len());
+            apply_step(&mut queue, &mut model, &step, max_running)?;
+            let backlog: u64 = model.waiting.iter().map(|one| one.expected_ms).sum();
+            prop_assert_eq!(queue.len(), model.waiting.len());
             prop_assert_eq!(queue.backlog_ms(), backlog);
         }
         Ok(())
@@ -127,31 +127,31 @@
     assert!(outcome.is_ok(), "{outcome:?}");
 }
 
-fn take_step(
+fn apply_step(
     queue: &mut queue::Queue,
-    naive: &mut Naive,
+    model: &mut Model,
     step: &Step,
     max_running: usize,
 ) -> Result<(), test_runner::TestCaseError> {
     match *step {
         Step::Push(team, job, index, ms) => {
             let item = item(queue, team, job, index, ms);
-            let is_known = naive.running.iter().chain(&naive.waiting).any(same(&item));
+            let is_known = model.running.iter().chain(&model.waiting).any(same(&item));
             if !is_known {
-                naive.waiting.push(item);
+                model.waiting.push(item);
                 queue.push(item);
             }
         }
         Step::Pop => {
             let popped = queue.pop();
-            let teams: Vec<_> = naive.waiting.iter().map(|one| one.team).collect();
-            let is_any = teams.iter().any(|team| naive.is_ready(*team, max_running));
-            prop_assert_eq!(popped.is_some(), is_any);
+            let teams: Vec<_> = model.waiting.iter().map(|one| one.team).collect();
+            let is_any_ready = teams.iter().any(|team| model.is_ready(*team, max_running));
+            prop_assert_eq!(popped.is_some(), is_any_ready);
             if let Some(item) = popped {
-                prop_assert!(naive.is_first(&item));
-                prop_assert!(naive.is_ready(item.team, max_running));
-                naive.waiting.retain(|one| one.task != item.task);
-                naive.running.push(item);
+                prop_assert!(model.is_first(&item));
+                prop_assert!(model.is_ready(item.team, max_running));
+                model.waiting.retain(|one| one.task != item.task);
+                model.running.push(item);
                 queue.started(&item);
             }
         }
@@ -166,28 +166,28 @@
             }
         }
         Step::Release => {
-            if let Some(item) = naive.running.pop() {
+            if let Some(item) = model.running.pop() {
                 queue.released(item.team);
             }
         }
         Step::Remove(job) => {
-            let gone = queue.remove_submission(key(job)).len();
-            let before = naive.waiting.len();
-            naive.waiting.retain(|one| one.task.submission != key(job));
-            prop_assert_eq!(gone, before - naive.waiting.len());
+            let removed = queue.remove_submission(key(job)).len();
+            let before = model.waiting.len();
+            model.waiting.retain(|one| one.task.submission != key(job));
+            prop_assert_eq!(removed, before - model.waiting.len());
         }
     }
     Ok(())
 }
 
 #[test]
-fn teams_that_always_wait_get_their_fluid_share_within_one_task() {
+fn backlogged_teams_get_their_fluid_share_within_one_task() {
     let weights = proptest::array::uniform3(1_u32..10);
     let sizes = proptest::array::uniform3(1_u64..1_000);
 
     let outcome = runner().run(&(weights, sizes), |(weights, sizes)| {
         let mut queue = queue(weights, u32::MAX);
-        let mut given = [0_u64; 3];
+        let mut received = [0_u64; 3];
         for (team, size) in (0..3).zip(sizes) {
             for index in 0..200 {
                 let item = item(&mut queue, team, team, index, size);
@@ -196,11 +196,11 @@
         }
 
         while !queue.is_empty() {
-            let item = queue.pop().expect("work waits");
+            let item = queue.pop().expect("the queue is not empty");
             queue.started(&item);
             let team = (0..3).position(|team| key(team) == item.task.submission);
-            given[team.expect("known")] += item.expected_ms;
-            if given
+            received[team.expect("known")] += item.expected_ms;
+            if received
                 .iter()
                 .zip(sizes)
                 .any(|(sum, size)| *sum == 200 * size)
@@ -210,10 +210,10 @@
         }
 
         for (one, other) in [(0, 1), (0, 2), (1, 2)] {
-            let part = |team: usize| given[team] as f64 / f64::from(weights[team]);
+            let share = |team: usize| received[team] as f64 / f64::from(weights[team]);
             let quantum = |team: usize| sizes[team] as f64 / f64::from(weights[team]);
             let bound = quantum(one).max(quantum(other)) + 1.0;
-            prop_assert!((part(one) - part(other)).abs() <= bound);
+            prop_assert!((share(one) - share(other)).abs() <= bound);
         }
         Ok(())
     });
@@ -222,14 +222,14 @@
 }
 
 #[test]
-fn a_team_that_was_idle_is_owed_nothing() {
+fn idle_team_earns_no_credit() {
     let mut queue = queue([1, 1, 1], u32::MAX);
     for index in 0..100 {
         let hot = item(&mut queue, 0, 0, index, 100);
         queue.push(hot);
     }
     for _ in 0..50 {
-        let hot = queue.pop().expect("work waits");
+        let hot = queue.pop().expect("the queue is not empty");
         queue.started(&hot);
     }
     for index in 0..20 {
@@ -244,62 +244,62 @@
 }
 
 #[test]
-fn a_team_pays_for_what_its_tasks_really_took() {
+fn team_is_charged_for_the_real_run_time() {
     let mut queue = queue([1, 1, 1], u32::MAX);
     for index in 0..20 {
-        let liar = item(&mut queue, 0, 0, index, 10);
-        let honest = item(&mut queue, 1, 1, index, 100);
-        queue.push(liar);
-        queue.push(honest);
+        let underestimated = item(&mut queue, 0, 0, index, 10);
+        let exact = item(&mut queue, 1, 1, index, 100);
+        queue.push(underestimated);
+        queue.push(exact);
     }
-    let mut liars = 0;
+    let mut starts = 0;
 
     for _ in 0..20 {
-        let item = queue.pop().expect("work waits");
+        let item = queue.pop().expect("the queue is not empty");
         queue.started(&item);
         queue.released(item.team);
         queue.adjust_charge(item.team, item.expected_ms, 100);
-        liars += u32::from(item.task.submission == key(0));
+        starts += u32::from(item.task.submission == key(0));
     }
 
-    assert_eq!(liars, 10);
+    assert_eq!(starts, 10);
 }
 
-/// A short job's target comes sooner, an old one's came before; ageing bounds both.
+/// Compares the ranks of two single-task jobs.
 #[rstest]
-#[case::short_before_long(1_000, 50, 900, 1_000, 2_000)]
-#[case::old_before_new(100, 1_000, 900, 50, 2_000)]
-#[case::aged_before_short(100, 10_000, 700, 10, 500)]
-#[case::first_come_without_age(100, 1_000, 101, 10, 0)]
-fn one_job_goes_before_another(
+#[case::short_job_before_slightly_older_long_job(1_000, 50, 900, 1_000, 2_000)]
+#[case::old_long_job_before_new_short_job(100, 1_000, 900, 50, 2_000)]
+#[case::age_limits_the_rank_of_a_long_job(100, 10_000, 700, 10, 500)]
+#[case::arrival_order_without_age(100, 1_000, 101, 10, 0)]
+fn first_job_ranks_before_the_second(
     #[case] first_at: u64,
     #[case] first_ms: u64,
     #[case] second_at: u64,
     #[case] second_ms: u64,
     #[case] age_ms: u64,
 ) {
-    let shape = |ms| order::JobEstimate {
+    let estimate = |ms| order::JobEstimate {
         longest_ms: ms,
         work_ms: ms,
         slots: 8,
     };
 
-    let first = order::rank_ms(first_at, &shape(first_ms), first_ms, age_ms);
-    let second = order::rank_ms(second_at, &shape(second_ms), second_ms, age_ms);
+    let first = order::rank_ms(first_at, &estimate(first_ms), first_ms, age_ms);
+    let second = order::rank_ms(second_at, &estimate(second_ms), second_ms, age_ms);
 
     assert!(first < second, "{first} {second}");
 }
 
 #[test]
-fn a_job_starts_its_longest_task_first() {
-    let shape = order::JobEstimate {
+fn longest_task_of_a_job_ranks_first() {
+    let estimate = order::JobEstimate {
         longest_ms: 800,
         work_ms: 1_000,
         slots: 8,
     };
 
-    let long = order::rank_ms(0, &shape, 800, 2_000);
-    let short = order::rank_ms(0, &shape, 200, 2_000);
+    let long = order::rank_ms(0, &estimate, 800, 2_000);
+    let short = order::rank_ms(0, &estimate, 200, 2_000);
 
     assert!(long < short);
 }
