--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,9 +1,9 @@
-//! Claims on submission ids of the clients' own choice.
+//! Claims on submission ids that are chosen by clients.
 //!
-//! Before anything of such an id starts, its entry appends a claim to the log's
-//! `claims` stream and reads the stream up to it. The first claim on an id in the
-//! order of the log owns it, and only the life that made it may start it. All
-//! entries read the same stream, so they agree without talking to each other.
+//! Before an entry starts any task of such a submission, it appends a claim to the log's
+//! `claims` stream and reads the stream up to that claim. The first claim on an id in the
+//! order of the log owns the id, and only the incarnation that made it may start the tasks.
+//! All entries read the same stream, so they agree without messages to each other.
 
 pub mod log;
 pub mod pace;
@@ -16,32 +16,32 @@
 
 use crate::ids;
 
-/// The log's stream of claims.
+/// Name of the log's stream of claims.
 pub const STREAM: &str = "claims";
 
-/// The version of the records written here.
+/// Version of the records that this program writes.
 pub const VERSION: u32 = 1;
 
-/// Longest wait for a claim to be read back, in milliseconds: a log that is slow
-/// but works answers an append and a read well within it.
+/// Time within which a claim must be read back, in milliseconds; a slow but working log
+/// answers an append and a read well within it.
 pub const CLAIM_TIMEOUT_MS: u64 = 2_000;
 
-/// Most claims in one record; with the longest names this stays under 300 KiB.
+/// Maximum number of claims in one record, which keeps it under 300 KiB with the longest ids.
 pub const MAX_CLAIMS_PER_RECORD: usize = 1_000;
 
-/// Most ids remembered, some 20 MB with names of usual length.
+/// Maximum number of remembered ids, about 20 MB with ids of usual length.
 pub const MAX_IDS: usize = 100_000;
 
-/// An id belongs to one team, as with tickets.
+/// Team and id; an id is only valid within its team.
 pub type ScopedId = (SmolStr, SmolStr);
 
-/// One life of one entry.
+/// One incarnation of an entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Claimer {
     /// The entry's name.
     pub entry: SmolStr,
-    /// Its life.
+    /// The entry's incarnation.
     pub incarnation: ids::Incarnation,
 }
 
@@ -49,16 +49,16 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Record {
-    /// See [`VERSION`].
+    /// Format version, see [`VERSION`].
     pub version: u32,
-    /// Who claims.
+    /// The incarnation that makes the claims.
     pub claimer: Claimer,
-    /// What, in the order in which the calls came.
+    /// The claimed ids, in the order of the calls.
     pub claims: Vec<ScopedId>,
 }
 
 impl Record {
-    /// A record that claims nothing.
+    /// Returns a record without claims.
     pub fn empty() -> Self {
         let claimer = Claimer {
             entry: SmolStr::default(),
@@ -72,64 +72,67 @@
     }
 }
 
-/// A read of the stream, already parsed.
+/// Parsed answer to one read of the stream.
 #[derive(Clone, Debug, Default)]
 pub struct Page {
-    /// Oldest offset still kept.
+    /// Oldest offset that the log still keeps.
     pub first: u64,
-    /// The records, in order; absent: one of a later version.
+    /// Offsets and records in order; `None` for a record of a later version.
     pub records: Vec<(u64, Option<Record>)>,
 }
 
-/// How an id stands, as far as the stream was read.
+/// State of an id, as far as the stream has been read.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimState {
-    /// No claim was read, and none is under way here.
+    /// No claim was read, and none is pending here.
     Unclaimed,
-    /// A claim of this life is under way.
+    /// A claim of this incarnation is not yet read back.
     Pending,
-    /// This life owns it.
+    /// This incarnation owns it.
     Mine {
-        /// Whether its submission came already.
+        /// Whether its submission was accepted already.
         is_used: bool,
     },
-    /// This life has decided never to start it.
+    /// This incarnation never starts it.
     Barred {
-        /// Whether it owns it, so that nobody else will start it either.
+        /// Whether this incarnation owns it, so that no other one starts it either.
         is_mine: bool,
     },
-    /// Another life owns it.
+    /// Another incarnation owns it.
     Other(Claimer),
 }
 
 #[derive(Debug)]
-struct Line {
+struct Claim {
     owner: Option<Claimer>,
+    /// Offset of the owner's claim; without an owner, the offset read when the id was barred.
     offset: u64,
     is_barred: bool,
     is_used: bool,
 }
 
-/// The claims known to one life of an entry.
+/// Claims known to one incarnation of an entry.
 #[derive(Debug)]
 pub struct Table {
     me: Claimer,
-    lines: collections::HashMap<ScopedId, Line>,
+    by_id: collections::HashMap<ScopedId, Claim>,
+    /// Claims that are not yet read back, with the time at which they time out.
     pending: collections::BTreeMap<ScopedId, u64>,
     unsent: collections::VecDeque<ScopedId>,
     is_appending: bool,
     is_reachable: bool,
     first: u64,
     position: u64,
+    /// Offset of the last claim that could not be remembered.
     overflow_at: Option<u64>,
 }
 
 impl Table {
-    /// Nothing was read yet; a claim made now is settled when it is read back.
+    /// Creates an empty table that has read nothing of the stream.
     pub fn new(me: Claimer) -> Self {
         Self {
             me,
-            lines: collections::HashMap::new(),
+            by_id: collections::HashMap::new(),
             pending: collections::BTreeMap::new(),
             unsent: collections::VecDeque::new(),
             is_appending: false,
@@ -140,58 +143,61 @@
         }
     }
 
-    /// Offset of the next record to read.
+    /// Returns the offset of the next record to read.
     pub const fn position(&self) -> u64 {
         self.position
     }
 
-    /// How many ids are remembered.
+    /// Number of remembered ids.
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.by_id.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no id is remembered.
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// How an id stands.
-    pub fn state(&self, name: &ScopedId) -> ClaimState {
-        if self.pending.contains_key(name) {
+    /// Returns the state of an id.
+    pub fn state(&self, id: &ScopedId) -> ClaimState {
+        if self.pending.contains_key(id) {
             return ClaimState::Pending;
         }
-        let Some(line) = self.lines.get(name) else {
+        let Some(known) = self.by_id.get(id) else {
             return ClaimState::Unclaimed;
         };
-        match &line.owner {
+        match &known.owner {
             Some(owner) if *owner != self.me => ClaimState::Other(owner.clone()),
-            owner if line.is_barred => ClaimState::Barred {
+            owner if known.is_barred => ClaimState::Barred {
                 is_mine: owner.is_some(),
             },
             Some(_) => ClaimState::Mine {
-                is_used: line.is_used,
+                is_used: known.is_used,
             },
             None => ClaimState::Unclaimed,
         }
     }
 
-    /// Begins to claim an id that is unclaimed; says whether it did.
+    /// Starts a claim on an unclaimed id and returns whether it did.
     ///
-    /// Nothing is begun while the log does not answer, so that refusing costs no
-    /// wait, nor while claims that were read could not all be remembered: the id
-    /// might be among them.
-    pub fn claim(&mut self, now_ms: u64, name: ScopedId) -> bool {
-        let is_full = self.lines.len() + self.pending.len() >= MAX_IDS;
+    /// No claim is started while the log does not answer, so that a call is refused without a
+    /// wait. Nor is one started while some of the claims read from the stream could not be
+    /// remembered, since the id might be among them.
+    pub fn claim(&mut self, now_ms: u64, id: ScopedId) -> bool {
+        let is_full = self.by_id.len() + self.pending.len() >= MAX_IDS;
         if !self.is_reachable || is_full || self.overflow_at.is_some() {
             return false;
         }
         let until_ms = now_ms.saturating_add(CLAIM_TIMEOUT_MS);
-        self.pending.insert(name.clone(), until_ms);
-        self.unsent.push_back(name);
+        self.pending.insert(id.clone(), until_ms);
+        self.unsent.push_back(id);
         true
     }
 
-    /// The next record to append, one at a time: what comes meanwhile is batched.
+    /// Returns the next record to append.
+    ///
+    /// Returns `None` without new claims or while an append is in flight; the claims made
+    /// during an append are batched into the next record.
     pub fn next_record(&mut self) -> Option<Record> {
         if self.is_appending || self.unsent.is_empty() {
             return None;
@@ -205,21 +211,24 @@
         })
     }
 
-    /// The append under way ended. Its answer proves nothing: a lost one may have
-    /// taken effect, so the claims in it stay pending until they are read back.
+    /// Records the end of the append in flight.
+    ///
+    /// Its claims stay pending until they are read back, since an append without an answer may
+    /// have taken effect.
     pub const fn append_ended(&mut self) {
         self.is_appending = false;
     }
 
-    /// A read of the stream failed.
+    /// Records that a read of the stream failed.
     pub const fn mark_unreachable(&mut self) {
         self.is_reachable = false;
     }
 
-    /// Takes in a read of the stream from [`Table::position`] on; gives the ids whose
-    /// claims were settled by it.
+    /// Applies records read from [`Table::position`] on.
+    ///
+    /// Returns the ids whose pending claims are settled by them.
     pub fn apply(&mut self, now_ms: u64, page: &Page) -> Vec<ScopedId> {
-        let mut settled = self.forget_expired(page.first);
+        let mut settled = self.drop_expired(page.first);
         self.is_reachable = true;
         for (offset, record) in &page.records {
             if *offset != self.position {
@@ -230,92 +239,89 @@
                 settled.extend(self.overflow(*offset));
                 continue;
             };
-            for name in &record.claims {
-                settled.extend(self.take_claim(now_ms, *offset, &record.claimer, name));
+            for id in &record.claims {
+                settled.extend(self.apply_claim(now_ms, *offset, &record.claimer, id));
             }
         }
         settled
     }
 
-    fn take_claim(
-        &mut self,
-        now: u64,
-        offset: u64,
-        by: &Claimer,
-        name: &ScopedId,
-    ) -> Vec<ScopedId> {
-        let is_known = self.lines.contains_key(name);
-        if !is_known && self.lines.len() >= MAX_IDS {
+    fn apply_claim(&mut self, now: u64, offset: u64, by: &Claimer, id: &ScopedId) -> Vec<ScopedId> {
+        let is_known = self.by_id.contains_key(id);
+        if !is_known && self.by_id.len() >= MAX_IDS {
             return self.overflow(offset);
         }
         let is_mine = *by == self.me;
-        let until_ms = self.pending.get(name).copied();
-        let line = self.lines.entry(name.clone()).or_insert(Line {
+        let until_ms = self.pending.get(id).copied();
+        let known = self.by_id.entry(id.clone()).or_insert(Claim {
             owner: None,
             offset,
             is_barred: false,
             is_used: false,
         });
-        if line.owner.is_none() {
-            line.owner = Some(by.clone());
-            line.offset = offset;
-            // Read back too late, or never asked for any more: the call was refused
-            // as not run by then.
-            line.is_barred |= is_mine && until_ms.is_none_or(|until_ms| until_ms <= now);
+        if known.owner.is_none() {
+            known.owner = Some(by.clone());
+            known.offset = offset;
+            // Read back after its timeout or after it was given up; by then the call has been
+            // refused as not run.
+            known.is_barred |= is_mine && until_ms.is_none_or(|until_ms| until_ms <= now);
         }
-        self.unsent.retain(|unsent| unsent != name);
-        let was_pending = self.pending.remove(name).is_some();
-        was_pending.then(|| name.clone()).into_iter().collect()
+        self.unsent.retain(|unsent| unsent != id);
+        let was_pending = self.pending.remove(id).is_some();
+        was_pending.then(|| id.clone()).into_iter().collect()
     }
 
-    /// Claims were read that can't be remembered: an id claimed from now on could be
-    /// one of them, so nothing is claimed until the log has dropped them as well.
+    /// Handles claims that were read and can't be remembered.
+    ///
+    /// A new claim could be for one of their ids, so no claim is made until the log has dropped
+    /// these records as well.
     fn overflow(&mut self, offset: u64) -> Vec<ScopedId> {
         self.overflow_at = Some(offset);
         self.bar_pending(|_| true)
     }
 
-    /// Claims that were not read back in time are given up for good.
+    /// Gives up the claims that were not read back in time and returns their ids.
     ///
-    /// The append may have taken effect and show up later, even as the first. The
-    /// caller was told "not run" by then, so this life never starts it.
+    /// Such a claim may still appear in the stream later, even as the first on its id. Its
+    /// caller has been answered "not run" by then, so this incarnation never starts it.
     pub fn expire(&mut self, now_ms: u64) -> Vec<ScopedId> {
         self.bar_pending(|until_ms| until_ms <= now_ms)
     }
 
-    fn bar_pending(&mut self, is_over: impl Fn(u64) -> bool) -> Vec<ScopedId> {
-        let over = self.pending.iter().filter(|(_, until)| is_over(**until));
-        let over: Vec<ScopedId> = over.map(|(name, _)| name.clone()).collect();
-        for name in &over {
-            self.pending.remove(name);
-            self.unsent.retain(|unsent| unsent != name);
-            self.bar(name);
+    fn bar_pending(&mut self, is_expired: impl Fn(u64) -> bool) -> Vec<ScopedId> {
+        let expired = self.pending.iter().filter(|(_, until)| is_expired(**until));
+        let expired: Vec<ScopedId> = expired.map(|(id, _)| id.clone()).collect();
+        for id in &expired {
+            self.pending.remove(id);
+            self.unsent.retain(|unsent| unsent != id);
+            self.bar(id);
         }
-        over
+        expired
     }
 
-    fn bar(&mut self, name: &ScopedId) {
+    fn bar(&mut self, id: &ScopedId) {
         let offset = self.position;
-        let line = self.lines.entry(name.clone()).or_insert(Line {
+        let known = self.by_id.entry(id.clone()).or_insert(Claim {
             owner: None,
             offset,
             is_barred: false,
             is_used: false,
         });
-        line.is_barred = true;
+        known.is_barred = true;
     }
 
-    /// The submission of an id that this life owns has come.
-    pub fn mark_used(&mut self, name: &ScopedId) {
-        if let Some(line) = self.lines.get_mut(name) {
-            line.is_used = true;
+    /// Records that the submission of an id owned by this incarnation was accepted.
+    pub fn mark_used(&mut self, id: &ScopedId) {
+        if let Some(known) = self.by_id.get_mut(id) {
+            known.is_used = true;
         }
     }
 
-    /// The log has dropped what stands before `first`: no entry can read it any
-    /// more. Records that this life has not read may have held claims on what is
-    /// pending, which is given up.
-    fn forget_expired(&mut self, first: u64) -> Vec<ScopedId> {
+    /// Drops claims before `first`, which the log no longer keeps and no entry can read.
+    ///
+    /// If this incarnation has not read all of the dropped records, they may have held claims
+    /// on pending ids, so the pending claims are given up. Returns their ids.
+    fn drop_expired(&mut self, first: u64) -> Vec<ScopedId> {
         let mut settled = Vec::new();
         if first > self.position {
             self.position = first;
@@ -323,7 +329,7 @@
         }
         if first > self.first {
             self.first = first;
-            self.lines.retain(|_, line| line.offset >= first);
+            self.by_id.retain(|_, known| known.offset >= first);
         }
         if self.overflow_at.is_some_and(|offset| offset < first) {
             self.overflow_at = None;
--- a/src/claims/pace.rs
+++ b/src/claims/pace.rs
@@ -1,35 +1,37 @@
-//! How often an entry appends claims.
+//! Limits how often an entry appends claims.
 //!
-//! Load pattern answered: many entries whose callers choose their own ids. The log takes
-//! several hundred appends a second from all of them; without a pace each entry appends
-//! as soon as its last append ended, and 164 of them ask for thousands. Claims that come
-//! within the pause go into one record, so nothing waits for longer than a pause.
+//! The log takes several hundred appends per second from all entries together. If each of 164
+//! entries appended as soon as its last append ended, they would ask for thousands. Claims
+//! that arrive during the pause go into one record, so none waits longer than the pause.
 
-/// So many entries append without a pause: with one append of some 5 ms under way at a
-/// time each, they come to several hundred a second.
-pub const FREE_ENTRIES: u64 = 3;
+/// Largest number of entries that append without a pause.
+///
+/// With one append of about 5 ms at a time each, they make several hundred per second.
+pub const MAX_UNPACED_ENTRIES: u64 = 3;
 
-/// Pause for each entry beyond these, in milliseconds: 164 entries append some 340 times
-/// a second together, and each within half a second.
-pub const PAUSE_MS: u64 = 3;
+/// Pause between appends for each entry beyond [`MAX_UNPACED_ENTRIES`], in milliseconds.
+///
+/// 164 entries then make about 340 appends per second together, and each at least one every
+/// half second.
+pub const PAUSE_PER_ENTRY_MS: u64 = 3;
 
-/// When the next append may begin.
+/// Earliest time of the next append.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Pace {
     next_ms: u64,
 }
 
 impl Pace {
-    /// Whether an append may begin now.
+    /// Whether an append may start now.
     pub const fn is_due(self, now_ms: u64) -> bool {
         now_ms >= self.next_ms
     }
 
-    /// An append begins, beside so many entries in all.
+    /// Records the start of an append; `entries` is the number of all entries.
     pub const fn append_started(&mut self, now_ms: u64, entries: u64) {
         let pause_ms = entries
-            .saturating_sub(FREE_ENTRIES)
-            .saturating_mul(PAUSE_MS);
+            .saturating_sub(MAX_UNPACED_ENTRIES)
+            .saturating_mul(PAUSE_PER_ENTRY_MS);
         self.next_ms = now_ms.saturating_add(pause_ms);
     }
 }
--- a/src/starts/mod.rs
+++ b/src/starts/mod.rs
@@ -1,8 +1,8 @@
-//! What a runner remembers of the attempts to start tasks.
+//! Ledger of the attempts that a runner has started or barred.
 //!
-//! Every start passes [`Ledger::admit`] once. An attempt that was admitted or
-//! barred is remembered for as long as a repeat of its message could still be
-//! taken in, see [`crate::epoch_window`].
+//! Every start passes [`Ledger::admit`] once, so that no attempt starts twice. An admitted or
+//! barred attempt is remembered for as long as a repeat of its message could still be
+//! accepted, see [`crate::epoch_window`].
 
 use std::collections;
 
@@ -11,27 +11,27 @@
 use crate::ids;
 use crate::wire;
 
-/// Most attempts remembered; beyond it nothing is admitted.
+/// Maximum number of remembered attempts; a full ledger admits nothing.
 pub const MAX_RECORDS: usize = 200_000;
 
-/// How an attempt stands in the ledger.
+/// State of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AttemptState {
-    /// Never to be started.
+    /// Must never start.
     Barred(codes::Code),
-    /// Accepted, and waiting for a slot.
+    /// Accepted and waiting for a slot.
     Parked,
-    /// Started at this time.
+    /// Started and not yet ended.
     Running {
-        /// Monotonic milliseconds.
+        /// Start time in monotonic milliseconds.
         since_ms: u64,
     },
-    /// Ended like this.
+    /// Ended with this outcome.
     Ended(wire::Outcome),
 }
 
 impl AttemptState {
-    /// The same in the words of the wire.
+    /// Returns the state as an outcome for the wire.
     pub fn outcome(&self, now_ms: u64) -> wire::Outcome {
         match self {
             Self::Barred(code) => wire::Outcome::NotStarted { code: *code },
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether it can change no more.
+    /// Whether the state is final.
     pub const fn is_settled(&self) -> bool {
         matches!(self, Self::Barred(_) | Self::Ended(_))
     }
@@ -51,22 +51,23 @@
 
 #[derive(Debug)]
 struct Record {
+    /// Epoch in which the state was recorded.
     tag: u64,
     state: AttemptState,
 }
 
-/// What became of a dispatch at the door.
+/// Result of [`Ledger::admit`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// New: it now stands as parked.
+    /// The attempt is new and now parked.
     New,
-    /// The same attempt came before and stands like this.
+    /// The attempt is known and has this state.
     Known(AttemptState),
-    /// Refused for good; it will not start under this attempt.
+    /// The attempt is refused and will never start.
     Refused(codes::Code),
 }
 
-/// The attempts of one life of one runner.
+/// Attempts known to one incarnation of a runner.
 #[derive(Debug)]
 pub struct Ledger {
     epochs: epoch_window::EpochWindow,
@@ -74,7 +75,7 @@
 }
 
 impl Ledger {
-    /// Starts with nothing remembered.
+    /// Creates an empty ledger.
     pub fn new(now_ms: u64) -> Self {
         Self {
             epochs: epoch_window::EpochWindow::new(now_ms),
@@ -82,26 +83,26 @@
         }
     }
 
-    /// The epoch for entries to stamp on their dispatches.
+    /// Returns the epoch that entries have to put into their dispatches.
     pub const fn epoch(&self) -> u64 {
         self.epochs.current()
     }
 
-    /// How many attempts are remembered.
+    /// Number of remembered attempts.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no attempt is remembered.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Takes in a dispatch, unless it came before, was barred or is too old to know.
+    /// Admits an attempt unless it is known, barred or from an epoch outside the window.
     ///
-    /// The epoch check is the guard against a dispatch that spent minutes on the
-    /// way or in a frozen entry: its attempt could have been barred, and the bar
-    /// forgotten, in the meantime.
+    /// The epoch check rejects a dispatch that was delayed for minutes in transit or in a
+    /// suspended entry: the attempt may have been barred, and the bar dropped, in the
+    /// meantime.
     pub fn admit(&mut self, attempt: ids::Attempt, epoch: u64) -> Admission {
         if let Some(record) = self.records.get(&attempt) {
             return Admission::Known(record.state.clone());
@@ -116,31 +117,32 @@
         Admission::New
     }
 
-    /// Says how an attempt stands.
+    /// Returns the state of an attempt.
     pub fn get(&self, attempt: ids::Attempt) -> Option<&AttemptState> {
         self.records.get(&attempt).map(|record| &record.state)
     }
 
-    /// Promises that an attempt never heard of will never start.
+    /// Bars an unknown attempt from ever starting.
     ///
-    /// Without room to remember the promise none is given: the attempt then stays
-    /// unknown, and the asker asks again.
+    /// Does nothing if the ledger is full: the attempt stays unknown, and the requester
+    /// repeats its request.
     pub fn bar(&mut self, attempt: ids::Attempt) {
         if self.records.len() < MAX_RECORDS {
             self.set(attempt, AttemptState::Barred(codes::Code::Fenced));
         }
     }
 
-    /// Writes how an attempt stands now.
+    /// Records the state of an attempt.
     pub fn set(&mut self, attempt: ids::Attempt, state: AttemptState) {
         let tag = self.epochs.current();
         self.records.insert(attempt, Record { tag, state });
     }
 
-    /// Begins another epoch when it is time, and forgets what may be forgotten.
+    /// Starts a new epoch once the current one has lasted `retain_ms`, and then drops the
+    /// settled attempts that are no longer needed.
     ///
-    /// Two epochs are remembered, so `retain_ms` is the least time for which a
-    /// settled attempt is kept, and twice that the most.
+    /// Two epochs are kept, so a settled attempt is remembered for at least `retain_ms` and at
+    /// most twice that.
     pub fn advance(&mut self, now_ms: u64, retain_ms: u64) {
         if self.epochs.advance(now_ms, retain_ms) {
             let epochs = self.epochs;
--- a/tests/unit/claims.rs
+++ b/tests/unit/claims.rs
@@ -1,4 +1,4 @@
-//! Claims at three entries that read one log, against a naive replay of the log.
+//! Claims of three entries on one log, compared with a replay of the whole log.
 
 use bulrushtiller::claims;
 use bulrushtiller::ids;
@@ -15,22 +15,22 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// A caller comes to an entry with an id.
+    /// A call with an id arrives at an entry.
     Claim(usize, usize),
-    /// The entry's record goes to the log: it takes effect now, later, or never.
-    Append(usize, Fate),
-    /// A record that was held up takes effect after all.
+    /// An entry appends its record, which takes effect now, later or never.
+    Append(usize, Effect),
+    /// A delayed record takes effect.
     Late,
-    /// The entry reads so many records, some of them again.
+    /// An entry reads this number of records, the first of them for the second time.
     Read(usize, usize),
-    /// Time passes and claims are given up.
+    /// Time passes and claims expire.
     Wait(u64),
-    /// The entry is replaced by another life, which knows nothing.
+    /// An entry restarts as a new incarnation without state.
     Restart(usize),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum Effect {
     Now,
     Later,
     Never,
@@ -38,10 +38,11 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     let entry = 0..ENTRIES;
-    let fate = proptest::sample::select(vec![Fate::Now, Fate::Now, Fate::Later, Fate::Never]);
+    let effect =
+        proptest::sample::select(vec![Effect::Now, Effect::Now, Effect::Later, Effect::Never]);
     prop_oneof![
         6 => (entry.clone(), 0_usize..4).prop_map(|(entry, id)| Step::Claim(entry, id)),
-        6 => (entry.clone(), fate).prop_map(|(entry, fate)| Step::Append(entry, fate)),
+        6 => (entry.clone(), effect).prop_map(|(entry, effect)| Step::Append(entry, effect)),
         2 => proptest::strategy::Just(Step::Late),
         8 => (entry.clone(), 0_usize..4).prop_map(|(entry, count)| Step::Read(entry, count)),
         3 => (0_u64..1_500).prop_map(Step::Wait),
@@ -49,41 +50,41 @@
     ]
 }
 
-fn name(id: usize) -> claims::ScopedId {
+fn scoped_id(id: usize) -> claims::ScopedId {
     ("escola".into(), SmolStr::from(format!("id-{id}")))
 }
 
-fn claimer(entry: usize, life: u64) -> claims::Claimer {
+fn claimer(entry: usize, value: u64) -> claims::Claimer {
     claims::Claimer {
         entry: SmolStr::from(format!("entry-{entry}")),
-        incarnation: ids::Incarnation(life),
+        incarnation: ids::Incarnation(value),
     }
 }
 
 struct World {
     log: Vec<claims::Record>,
-    late: Vec<claims::Record>,
+    delayed: Vec<claims::Record>,
     tables: Vec<claims::Table>,
-    me: Vec<claims::Claimer>,
+    claimers: Vec<claims::Claimer>,
     refused: Vec<(claims::Claimer, claims::ScopedId)>,
-    lives: u64,
+    incarnations: u64,
     now_ms: u64,
 }
 
 impl World {
     fn new() -> Self {
-        let me: Vec<_> = (0..ENTRIES).map(|entry| claimer(entry, 0)).collect();
-        let mut tables: Vec<_> = me.iter().cloned().map(claims::Table::new).collect();
+        let claimers: Vec<_> = (0..ENTRIES).map(|entry| claimer(entry, 0)).collect();
+        let mut tables: Vec<_> = claimers.iter().cloned().map(claims::Table::new).collect();
         for table in &mut tables {
             table.apply(0, &claims::Page::default());
         }
         Self {
             log: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             tables,
-            me,
+            claimers,
             refused: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             now_ms: 0,
         }
     }
@@ -91,40 +92,40 @@
     fn step(&mut self, step: Step) {
         match step {
             Step::Claim(entry, id) => {
-                if self.tables[entry].state(&name(id)) == claims::ClaimState::Unclaimed {
-                    self.tables[entry].claim(self.now_ms, name(id));
+                if self.tables[entry].state(&scoped_id(id)) == claims::ClaimState::Unclaimed {
+                    self.tables[entry].claim(self.now_ms, scoped_id(id));
                 }
             }
-            Step::Append(entry, fate) => {
+            Step::Append(entry, effect) => {
                 if let Some(record) = self.tables[entry].next_record() {
-                    match fate {
-                        Fate::Now => self.log.push(record),
-                        Fate::Later => self.late.push(record),
-                        Fate::Never => {}
+                    match effect {
+                        Effect::Now => self.log.push(record),
+                        Effect::Later => self.delayed.push(record),
+                        Effect::Never => {}
                     }
                     self.tables[entry].append_ended();
                 }
             }
-            Step::Late => self.log.extend(self.late.pop()),
+            Step::Late => self.log.extend(self.delayed.pop()),
             Step::Read(entry, count) => self.read(entry, count),
             Step::Wait(ms) => {
                 self.now_ms += ms;
-                for (table, me) in self.tables.iter_mut().zip(&self.me) {
-                    let over = table.expire(self.now_ms);
+                for (table, me) in self.tables.iter_mut().zip(&self.claimers) {
+                    let expired = table.expire(self.now_ms);
                     self.refused
-                        .extend(over.into_iter().map(|id| (me.clone(), id)));
+                        .extend(expired.into_iter().map(|id| (me.clone(), id)));
                 }
             }
             Step::Restart(entry) => {
-                self.lives += 1;
-                self.me[entry] = claimer(entry, self.lives);
-                self.tables[entry] = claims::Table::new(self.me[entry].clone());
+                self.incarnations += 1;
+                self.claimers[entry] = claimer(entry, self.incarnations);
+                self.tables[entry] = claims::Table::new(self.claimers[entry].clone());
                 self.tables[entry].apply(self.now_ms, &claims::Page::default());
             }
         }
     }
 
-    /// Reads from one record before the position on: the first comes a second time.
+    /// Reads from one record before the position, so that the first record is a repeat.
     fn read(&mut self, entry: usize, count: usize) {
         let position = usize::try_from(self.tables[entry].position()).expect("small");
         let from = position.saturating_sub(1);
@@ -138,7 +139,7 @@
         self.tables[entry].apply(self.now_ms, &page);
     }
 
-    /// The first claim on an id, by replaying the whole log.
+    /// Returns the maker of the first claim on an id in the whole log.
     fn owner(&self, name: &claims::ScopedId) -> Option<&claims::Claimer> {
         let first = self.log.iter().find(|record| record.claims.contains(name));
         first.map(|record| &record.claimer)
@@ -146,12 +147,19 @@
 
     fn check(&self) -> Result<(), test_runner::TestCaseError> {
         for id in (0..4).map(name) {
-            for (table, me) in self.tables.iter().zip(&self.me) {
+            for (table, me) in self.tables.iter().zip(&self.claimers) {
                 match table.state(&id) {
                     claims::ClaimState::Mine { .. } => {
-                        prop_assert_eq!(self.owner(&id), Some(me), "started by who is not first");
+                        prop_assert_eq!(
+                            self.owner(&id),
+                            Some(me),
+                            "started by an entry that does not own the id"
+                        );
                         let refusal = (me.clone(), id.clone());
-                        prop_assert!(!self.refused.contains(&refusal), "started after 'not run'");
+                        prop_assert!(
+                            !self.refused.contains(&refusal),
+                            "started after the caller was answered 'not run'"
+                        );
                     }
                     claims::ClaimState::Other(by) => prop_assert_eq!(self.owner(&id), Some(&by)),
                     claims::ClaimState::Barred { is_mine: true } => {
@@ -165,11 +173,11 @@
     }
 }
 
-// Entries claim the same ids at once, appends are lost, answered late or take effect after
-// they were given up, records are read twice, entries are replaced. What a user would see if
-// two of them thought that an id is theirs: a certified copy issued twice.
+// If two entries both take an id as theirs, its submission runs twice. Here entries claim the
+// same ids at once, appends are lost, delayed or take effect after the claim has expired,
+// records are read twice, and entries restart.
 #[test]
-fn owner_is_the_first_in_the_log_everywhere() {
+fn every_entry_takes_the_first_claim_in_the_log_as_the_owner() {
     let mut runner = fixtures::fixed_runner(2_000);
     let steps = proptest::collection::vec(any_step(), 1..80);
 
@@ -185,15 +193,18 @@
         world.check()?;
         for id in (0..4).map(name) {
             let is_claimed = world.owner(&id).is_some();
-            let knows = |table: &claims::Table| {
-                let standing = table.state(&id);
+            let knows_owner = |table: &claims::Table| {
+                let state = table.state(&id);
                 let is_open = matches!(
-                    standing,
+                    state,
                     claims::ClaimState::Unclaimed | claims::ClaimState::Barred { is_mine: false }
                 );
                 !is_claimed || !is_open
             };
-            prop_assert!(world.tables.iter().all(knows), "a claim was overlooked");
+            prop_assert!(
+                world.tables.iter().all(knows_owner),
+                "an entry missed a claim"
+            );
         }
         Ok(())
     });
@@ -202,10 +213,10 @@
 }
 
 #[test]
-fn records_that_expired_unread_bar_what_is_pending() {
+fn pending_claim_is_barred_when_unread_records_expire() {
     let mut table = claims::Table::new(claimer(0, 0));
     table.apply(0, &claims::Page::default());
-    table.claim(0, name(0));
+    table.claim(0, scoped_id(0));
 
     let page = claims::Page {
         first: 5,
@@ -213,20 +224,20 @@
     };
     let settled = table.apply(1, &page);
 
-    assert_eq!(settled, vec![name(0)]);
+    assert_eq!(settled, vec![scoped_id(0)]);
     let barred = claims::ClaimState::Barred { is_mine: false };
-    assert_eq!(table.state(&name(0)), barred);
+    assert_eq!(table.state(&scoped_id(0)), barred);
 }
 
 #[test]
-fn expired_claims_are_forgotten() {
+fn claims_are_dropped_with_the_expired_records() {
     let mut table = claims::Table::new(claimer(0, 0));
     let record = |id| {
         let by = claimer(1, 1);
         Some(claims::Record {
             version: claims::VERSION,
             claimer: by,
-            claims: vec![name(id)],
+            claims: vec![scoped_id(id)],
         })
     };
     let records = (0..10).map(|at| (at as u64, record(at))).collect();
@@ -242,13 +253,13 @@
 }
 
 #[test]
-fn nothing_is_claimed_while_the_log_is_silent() {
+fn claim_is_not_started_while_the_log_does_not_answer() {
     let mut table = claims::Table::new(claimer(0, 0));
     table.apply(0, &claims::Page::default());
     table.mark_unreachable();
 
-    let is_begun = table.claim(0, name(0));
+    let is_started = table.claim(0, scoped_id(0));
 
-    assert!(!is_begun);
-    assert_eq!(table.state(&name(0)), claims::ClaimState::Unclaimed);
+    assert!(!is_started);
+    assert_eq!(table.state(&scoped_id(0)), claims::ClaimState::Unclaimed);
 }
--- a/tests/unit/epoch_window.rs
+++ b/tests/unit/epoch_window.rs
@@ -1,4 +1,4 @@
-//! Epochs, against a naive list of all that was ever handed out and recorded.
+//! The window of epochs, compared with a list of all epochs that were ever sent.
 
 use bulrushtiller::epoch_window;
 use proptest::prop_assert;
@@ -9,27 +9,27 @@
 
 const LENGTH_MS: u64 = 100;
 
-// What would go wrong: a record is dropped although a repeat of its message would still be
-// taken in, and the repeat starts the task a second time.
+// If a record were dropped while a repeat of its message is still accepted, the repeat would
+// start the task a second time.
 #[test]
-fn record_outlives_every_message_that_it_guards_against() {
+fn record_is_kept_as_long_as_its_message_is_accepted() {
     let mut runner = fixtures::fixed_runner(256);
     let pauses = proptest::collection::vec(0_u64..250, 1..40);
 
     let result = runner.run(&pauses, |pauses| {
         let mut now_ms = 7;
         let mut epochs = epoch_window::EpochWindow::new(now_ms);
-        let mut handed_out = Vec::new();
-        let mut begun = 1;
+        let mut sent = Vec::new();
+        let mut expected = 1;
         for pause in pauses {
             now_ms += pause;
-            begun += u64::from(epochs.advance(now_ms, LENGTH_MS));
-            handed_out.push(epochs.current());
-            prop_assert_eq!(epochs.current(), begun);
-            for message in &handed_out {
-                let is_recent = *message + 1 >= begun;
+            expected += u64::from(epochs.advance(now_ms, LENGTH_MS));
+            sent.push(epochs.current());
+            prop_assert_eq!(epochs.current(), expected);
+            for message in &sent {
+                let is_recent = *message + 1 >= expected;
                 prop_assert_eq!(epochs.contains(*message), is_recent);
-                for tag in handed_out.iter().filter(|tag| *tag >= message) {
+                for tag in sent.iter().filter(|tag| *tag >= message) {
                     let is_dropped = !epochs.contains(*tag);
                     prop_assert!(!is_dropped || !epochs.contains(*message));
                 }
@@ -42,14 +42,14 @@
 }
 
 #[rstest]
-#[case::never_begun(0)]
+#[case::zero(0)]
 #[case::future(2)]
-#[case::greatest(u64::MAX)]
-fn foreign_epoch(#[case] epoch: u64) {
+#[case::largest(u64::MAX)]
+fn epoch_that_was_never_sent_is_refused_except_zero(#[case] epoch: u64) {
     let epochs = epoch_window::EpochWindow::new(0);
 
-    let is_contained = epochs.contains(epoch);
+    let is_accepted = epochs.contains(epoch);
 
-    // Epoch 0 is the one before the first, of which nothing can have been forgotten.
-    assert_eq!(is_contained, epoch == 0);
+    // Epoch 0 is the one before the first; no record of it can have been dropped.
+    assert_eq!(is_accepted, epoch == 0);
 }
--- a/tests/unit/starts.rs
+++ b/tests/unit/starts.rs
@@ -1,4 +1,4 @@
-//! The runner's ledger, against a naive one that never forgets.
+//! The runner's ledger, compared with one that never drops an attempt.
 
 use std::collections;
 
@@ -17,23 +17,24 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Step {
-    /// An entry stamps an attempt with the epoch that it last heard.
-    Mint,
-    /// A dispatch arrives: the first time, again, or late.
+    /// An entry creates an attempt with the current epoch of the runner.
+    Create,
+    /// A dispatch arrives for the first time, again or late.
     Dispatch(usize),
-    /// A task starts, if it waits.
+    /// A parked task starts.
     Start(usize),
-    /// A task ends, if it runs.
+    /// A running task ends.
     End(usize),
-    /// An entry has it barred.
+    /// An entry bars an attempt.
     Bar(usize),
     /// Time passes.
     Wait(u64),
 }
 
 #[derive(Default)]
-struct Naive {
-    minted: Vec<u64>,
+struct Model {
+    /// Epochs of the created attempts.
+    created: Vec<u64>,
     admitted: collections::BTreeSet<usize>,
     barred: collections::BTreeSet<usize>,
 }
@@ -41,7 +42,7 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let at = 0_usize..12;
     prop_oneof![
-        3 => proptest::strategy::Just(Step::Mint),
+        3 => proptest::strategy::Just(Step::Create),
         6 => at.clone().prop_map(Step::Dispatch),
         3 => at.clone().prop_map(Step::Start),
         3 => at.clone().prop_map(Step::End),
@@ -69,26 +70,26 @@
 fn run(steps: &[Step]) -> Result<(), test_runner::TestCaseError> {
     let mut now_ms = 0;
     let mut ledger = starts::Ledger::new(now_ms);
-    let mut naive = Naive::default();
+    let mut model = Model::default();
     for step in steps {
         match *step {
-            Step::Mint => naive.minted.push(ledger.epoch()),
+            Step::Create => model.created.push(ledger.epoch()),
             Step::Wait(ms) => {
                 now_ms += ms;
                 ledger.advance(now_ms, LENGTH_MS);
             }
-            Step::Dispatch(at) if at < naive.minted.len() => {
-                let is_new = !naive.admitted.contains(&at) && !naive.barred.contains(&at);
-                let admission = ledger.admit(attempt(at), naive.minted[at]);
-                let is_recent = naive.minted[at] + 1 >= ledger.epoch();
+            Step::Dispatch(at) if at < model.created.len() => {
+                let is_new = !model.admitted.contains(&at) && !model.barred.contains(&at);
+                let admission = ledger.admit(attempt(at), model.created[at]);
+                let is_in_window = model.created[at] + 1 >= ledger.epoch();
                 match admission {
                     starts::Admission::New => {
-                        prop_assert!(is_new, "admitted twice, or after it was barred");
-                        naive.admitted.insert(at);
+                        prop_assert!(is_new, "admitted twice or after it was barred");
+                        model.admitted.insert(at);
                     }
                     starts::Admission::Known(_) => prop_assert!(!is_new),
                     starts::Admission::Refused(code) => {
-                        prop_assert!(code == codes::Code::StaleDispatch && !is_recent);
+                        prop_assert!(code == codes::Code::StaleDispatch && !is_in_window);
                     }
                 }
             }
@@ -99,15 +100,18 @@
                 }
             }
             Step::End(at) => {
-                let entry = ledger.get(attempt(at));
-                if matches!(entry, Some(starts::AttemptState::Running { .. })) {
+                let state = ledger.get(attempt(at));
+                if matches!(state, Some(starts::AttemptState::Running { .. })) {
                     ledger.set(attempt(at), ended());
                 }
             }
-            Step::Bar(at) if at < naive.minted.len() && ledger.get(attempt(at)).is_none() => {
+            Step::Bar(at) if at < model.created.len() && ledger.get(attempt(at)).is_none() => {
                 ledger.bar(attempt(at));
-                prop_assert!(ledger.get(attempt(at)).is_some(), "a promise is remembered");
-                naive.barred.insert(at);
+                prop_assert!(
+                    ledger.get(attempt(at)).is_some(),
+                    "a barred attempt is unknown"
+                );
+                model.barred.insert(at);
             }
             Step::Dispatch(_) | Step::Bar(_) => {}
         }
@@ -115,10 +119,10 @@
     Ok(())
 }
 
-// Dispatches come twice, late and after they were barred, while the ledger forgets to stay
-// small. What a user would see if it forgot too much: a family that is charged twice.
+// A ledger that drops an attempt too early starts its task twice. Here dispatches arrive twice,
+// late and after they were barred, while old attempts are dropped.
 #[test]
-fn ledger_admits_what_the_naive_one_admits_and_never_more() {
+fn ledger_admits_each_attempt_at_most_once_and_none_that_is_barred() {
     let mut runner = fixtures::fixed_runner(2_000);
     let steps = proptest::collection::vec(any_step(), 1..80);
 
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn memory_is_bounded_by_the_window() {
+fn settled_attempts_are_dropped_after_two_epochs() {
     let mut ledger = starts::Ledger::new(0);
 
     for round in 0..100 {
@@ -141,18 +145,17 @@
     assert!(ledger.len() <= 20, "{} are remembered", ledger.len());
 }
 
-// A runner has been asked about, or handed, as many attempts as it may remember. What it
-// could not remember it must not take in, since a copy would start a second time; and an
-// entry must not be told that an attempt is barred which would be taken in later.
+// An attempt that is admitted without a record would start again with the next copy of its
+// dispatch, and one that is reported as barred without a record could be admitted later.
 #[test]
-fn full_ledger_takes_nothing_in_and_promises_nothing() {
+fn full_ledger_admits_and_bars_nothing() {
     let mut ledger = starts::Ledger::new(0);
     (0..starts::MAX_RECORDS).for_each(|at| ledger.bar(attempt(at)));
     let next = attempt(starts::MAX_RECORDS);
 
-    let taken_in = ledger.admit(next, ledger.epoch());
+    let refused = ledger.admit(next, ledger.epoch());
     ledger.bar(next);
-    let promise = ledger.get(next).cloned();
+    let barred_state = ledger.get(next).cloned();
     let first = ledger.admit(attempt(0), ledger.epoch());
     ledger.advance(LENGTH_MS, LENGTH_MS);
     ledger.advance(2 * LENGTH_MS, LENGTH_MS);
@@ -160,8 +163,12 @@
 
     let full = starts::Admission::Refused(codes::Code::RunnerFull);
     let barred = starts::AttemptState::Barred(codes::Code::Fenced);
-    assert_eq!(taken_in, full);
-    assert_eq!(promise, None);
+    assert_eq!(refused, full);
+    assert_eq!(barred_state, None);
     assert_eq!(first, starts::Admission::Known(barred));
-    assert_eq!(later, starts::Admission::New, "there is room again");
+    assert_eq!(
+        later,
+        starts::Admission::New,
+        "the ledger has free capacity again"
+    );
 }
