--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -274,7 +274,7 @@
         revision: Option<u64>,
     ) -> Vec<Action> {
         self.ramps
-            .change(now_ms, &self.settings, &settings, revision);
+            .settings_changed(now_ms, &self.settings, &settings, revision);
         let mut actions = self.wake(now_ms);
         self.queue.configure(&settings.teams);
         let teams = self.queue.teams();
--- a/src/leading/mod.rs
+++ b/src/leading/mod.rs
@@ -1,76 +1,85 @@
-//! Which entry decides for all while slots are scarce.
+//! Selection of the entry that dispatches for all entries while slots are scarce.
 //!
-//! Load patterns answered: every one in which tasks wait. Several entries that share
-//! runners see the slots late and order only their own queues; a single one sees all
-//! and wastes no message. Without this p99 over ideal at 0.7 load is 1.28 in place of
-//! 1.09, and beside a hot caller 2.13 in place of 1.30 (means of twelve seeds, see
-//! `docs/DECISIONS.md`).
+//! Several entries that share runners learn of free slots late, and each orders only its own
+//! queue. A single entry sees all queued work and wastes no messages. Without it the p99 of
+//! the time over ideal is 1.28 instead of 1.09 at a load of 0.7, and 2.13 instead of 1.30
+//! beside a hot caller (means of twelve seeds, see `docs/DECISIONS.md`).
 //!
-//! So an entry that sees few free slots passes new submissions on to the leading one.
-//! Nothing has to be agreed for that: a passed submission goes under a ticket that the
-//! leading entry minted ([`TicketStock`]), so that whoever else believes to lead can't start
-//! it, and two that lead at once are no worse than none.
+//! So an entry that sees few free slots forwards new submissions to the leading entry. This
+//! needs no agreement: a forwarded submission carries a ticket issued by the leading entry
+//! ([`TicketStock`]), so that no other entry that takes itself for the leader can start it,
+//! and two leaders at a time are no worse than none.
 
 use smol_str::SmolStr;
 
 use crate::ids;
 use crate::wire;
 
-/// Tickets of the leading entry that another keeps ready: half a second of the 500
-/// submissions a second that an entry is good for.
+/// Number of the leading entry's tickets that another entry keeps in stock; enough for half a
+/// second at the 500 submissions per second that an entry can take.
 pub const TICKET_STOCK_SIZE: u32 = 256;
 
-/// Tickets given to another entry at once, at most.
+/// Maximum number of tickets granted to another entry at once.
 pub const MAX_TICKETS_PER_GRANT: u32 = 1_024;
 
-/// How long tickets of the leading entry are kept ready, in milliseconds. Short beside
-/// their validity, which callers that take them ahead of time are told in full.
+/// How long a ticket of the leading entry stays in stock, in milliseconds.
+///
+/// It is short compared with the validity of a ticket. Callers that fetch tickets in advance are
+/// told the validity less this time.
 pub const STOCK_LIFETIME_MS: u64 = 5_000;
 
-/// Part of the slots seen here that a leading entry must see too: one that is cut off
-/// from runners would refuse what this one can place.
-pub const MIN_VISIBLE_PART: f64 = 0.75;
+/// Fraction of the slots seen by this entry that a leading entry must see as well; an entry
+/// that is partitioned from runners would refuse work that this one can place.
+pub const MIN_VISIBLE_FRACTION: f64 = 0.75;
 
-/// An entry as a candidate for leading.
+/// An entry that may become the leading candidate.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Who it is.
+    /// Identity of the entry.
     pub peer: &'a wire::Peer,
     /// Whether its zone is out of service.
     pub is_zone_out: bool,
-    /// Slots in service that it sees.
+    /// Number of slots in service that it sees.
     pub slots: u32,
 }
 
-/// The candidate that leads: in a zone that is in service, the one that lives longest.
+/// Returns the leading entry: the longest-running candidate, preferably in a zone that is in
+/// service.
 ///
-/// A new entry so never takes over from one that does well, and entries with the same
-/// view choose the same. `slots` are those seen by the one that asks.
+/// So a new entry never takes over from a healthy one, and entries with the same information
+/// choose the same leader. `slots` is the number of slots that the calling entry sees.
 pub fn leader<'a>(
     candidates: impl Iterator<Item = Candidate<'a>>,
     slots: u32,
 ) -> Option<&'a wire::Peer> {
-    let least = f64::from(slots) * MIN_VISIBLE_PART;
-    let seeing = candidates.filter(|one| one.slots > 0 && f64::from(one.slots) >= least);
-    let first = seeing.min_by_key(|one| (one.is_zone_out, one.peer.incarnation, &one.peer.name));
-    first.map(|one| one.peer)
+    let min_slots = f64::from(slots) * MIN_VISIBLE_FRACTION;
+    let eligible = candidates
+        .filter(|candidate| candidate.slots > 0 && f64::from(candidate.slots) >= min_slots);
+    let first = eligible.min_by_key(|candidate| {
+        (
+            candidate.is_zone_out,
+            candidate.peer.incarnation,
+            &candidate.peer.name,
+        )
+    });
+    first.map(|candidate| candidate.peer)
 }
 
-/// Whether slots are scarce: fewer than this part of them would be free.
+/// Whether the fraction of free slots would be below `least_free` after starting `tasks` tasks.
 pub fn is_scarce(free: i64, tasks: usize, slots: u32, least_free: f64) -> bool {
-    let left = free.saturating_sub(i64::try_from(tasks).unwrap_or(i64::MAX));
-    (left as f64) < f64::from(slots) * least_free
+    let remaining = free.saturating_sub(i64::try_from(tasks).unwrap_or(i64::MAX));
+    (remaining as f64) < f64::from(slots) * least_free
 }
 
-/// Tickets of another entry, ready to be used.
+/// Unused tickets issued by another entry.
 #[derive(Clone, Debug, Default)]
 pub struct TicketStock {
-    of: Option<Minter>,
+    issued_by: Option<Issuer>,
     ranges: std::collections::VecDeque<Range>,
 }
 
 #[derive(Clone, Debug, Eq, PartialEq)]
-struct Minter {
+struct Issuer {
     entry: SmolStr,
     incarnation: ids::Incarnation,
 }
@@ -82,27 +91,27 @@
 }
 
 impl TicketStock {
-    /// Adds tickets minted by that entry; those of another one are dropped.
-    pub fn add(&mut self, now_ms: u64, minter: &wire::Peer, tickets: wire::TicketRange) {
-        let of = Minter {
-            entry: minter.name.clone(),
-            incarnation: minter.incarnation,
+    /// Adds tickets issued by an entry and drops those of any other entry or incarnation.
+    pub fn add(&mut self, now_ms: u64, issuer: &wire::Peer, tickets: wire::TicketRange) {
+        let added = Issuer {
+            entry: issuer.name.clone(),
+            incarnation: issuer.incarnation,
         };
-        if self.of.as_ref() != Some(&of) {
+        if self.issued_by.as_ref() != Some(&added) {
             self.ranges.clear();
-            self.of = Some(of);
+            self.issued_by = Some(added);
         }
         let until_ms = now_ms.saturating_add(STOCK_LIFETIME_MS);
         self.ranges.push_back(Range { tickets, until_ms });
     }
 
-    /// Takes a ticket of that entry, the oldest first.
-    pub fn take(&mut self, now_ms: u64, minter: &wire::Peer) -> Option<ids::SubmissionId> {
-        self.expire(now_ms, minter);
+    /// Takes the oldest ticket issued by an entry.
+    pub fn take(&mut self, now_ms: u64, issuer: &wire::Peer) -> Option<ids::SubmissionId> {
+        self.expire(now_ms, issuer);
         let range = self.ranges.front_mut()?;
         let ticket = ids::Ticket {
-            entry: minter.name.clone(),
-            incarnation: minter.incarnation,
+            entry: issuer.name.clone(),
+            incarnation: issuer.incarnation,
             epoch: range.tickets.epoch,
             number: range.tickets.first,
         };
@@ -114,17 +123,19 @@
         Some(ids::SubmissionId::Ticket(ticket))
     }
 
-    /// How many more of that entry's tickets to ask for.
-    pub fn shortfall(&mut self, now_ms: u64, minter: &wire::Peer) -> u32 {
-        self.expire(now_ms, minter);
-        let kept: u32 = self.ranges.iter().map(|range| range.tickets.count).sum();
-        TICKET_STOCK_SIZE.saturating_sub(kept)
+    /// Returns the number of tickets to request from an entry to refill the stock.
+    pub fn shortfall(&mut self, now_ms: u64, issuer: &wire::Peer) -> u32 {
+        self.expire(now_ms, issuer);
+        let available: u32 = self.ranges.iter().map(|range| range.tickets.count).sum();
+        TICKET_STOCK_SIZE.saturating_sub(available)
     }
 
-    fn expire(&mut self, now_ms: u64, minter: &wire::Peer) {
-        let is_of = |of: &Minter| of.entry == minter.name && of.incarnation == minter.incarnation;
-        let is_same = self.of.as_ref().is_some_and(is_of);
-        let is_good = |range: &Range| is_same && range.until_ms > now_ms && range.tickets.count > 0;
-        self.ranges.retain(is_good);
+    fn expire(&mut self, now_ms: u64, issuer: &wire::Peer) {
+        let is_issuer =
+            |known: &Issuer| known.entry == issuer.name && known.incarnation == issuer.incarnation;
+        let is_same = self.issued_by.as_ref().is_some_and(is_issuer);
+        let is_valid =
+            |range: &Range| is_same && range.until_ms > now_ms && range.tickets.count > 0;
+        self.ranges.retain(is_valid);
     }
 }
--- a/src/learning/mod.rs
+++ b/src/learning/mod.rs
@@ -1,17 +1,18 @@
-//! What tasks really take, learned per team and kind.
+//! Run times and resource needs of tasks, learned per team and kind.
 //!
-//! Load pattern answered: declared sizes and run times that are far off. Without it a
-//! team that declares 10 ms for tasks of a second gets a hundred times its share, the
-//! foreseen waits are wrong, and workers, which start what they are given, run out of
-//! memory or stand half empty.
+//! Declared run times and sizes can be far off. If they were trusted, a team that declares
+//! 10 ms for tasks of a second would get a hundred times its share, the predicted waits would
+//! be wrong, and workers, which start whatever they are sent, would run out of memory or stay
+//! half empty.
 //!
-//! Run times: two predictors run side by side, the declared time scaled by what such
-//! declarations came to, and the smoothed mean. The one with the smaller smoothed
-//! error is used, so a declaration that is off by a factor still tells long tasks from
-//! short ones, and one that tells nothing is passed over.
+//! Run times: there are two predictors, the declared time scaled by the mean ratio of real to
+//! declared times, and the smoothed mean. The one with the smaller smoothed error is used. So
+//! a declaration that is off by a factor still tells long tasks from short ones, and a
+//! declaration without information is ignored.
 //!
-//! Sizes: memory follows a high expectile, since a task beyond it is killed; cpu the
-//! mean, since too much of it only slows. Accelerators follow the greatest seen lately.
+//! Sizes: memory follows a high expectile, since a task that exceeds its memory is killed. CPU
+//! follows the mean, since exceeding it only slows the task. Accelerators follow the recent
+//! maximum.
 
 use std::collections;
 
@@ -19,111 +20,123 @@
 
 use crate::wire;
 
-/// Ends of tasks after which what was learned counts: the mean of eight run times
-/// spread over 50 ms to 1 s lies within about a third of the true one.
+/// Number of ended tasks after which the learned values of a kind are used.
+///
+/// The mean of eight run times between 50 ms and 1 s lies within about a third of the true
+/// mean.
 pub const MIN_SAMPLES: u32 = 8;
 
-/// Most kinds remembered; at some 200 bytes each, 1 MB.
+/// Maximum number of remembered kinds; at about 200 bytes each they take 1 MB.
 pub const MAX_KINDS: usize = 4_096;
 
-/// Weight of the newest run time: smoothing over about 16 ends.
-const NEWEST: f64 = 1.0 / 16.0;
+/// Weight of the newest run time, which smooths over about 16 tasks.
+const NEWEST_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Steps of the memory estimate, as parts of the distance: up when a task used more,
-/// down when it used less. It rests where what the larger tasks use beyond it is a
-/// fortieth of what the others leave of it; for sizes spread evenly between two
-/// bounds that is the 86th percentile. One outlier in a hundred tasks has faded to a
+/// Step of the memory estimate towards a task that used more, as a fraction of the distance.
+///
+/// With [`MEMORY_STEP_DOWN`] the estimate settles where the total excess of the larger tasks is
+/// a fortieth of the total unused memory of the others, which is the 86th percentile for
+/// uniformly distributed sizes. With one outlier in a hundred tasks, its effect has decayed to a
 /// third when the next one comes.
-const MEMORY_UP: f64 = 0.4;
-const MEMORY_DOWN: f64 = 0.01;
+const MEMORY_STEP_UP: f64 = 0.4;
 
-/// Number of the end of a task; the kind with the least goes when the table is full.
-type Seen = u64;
+/// Step of the memory estimate towards a task that used less, as a fraction of the distance.
+const MEMORY_STEP_DOWN: f64 = 0.01;
 
-/// What a task is expected to take.
+/// Sequence number of an ended task; the kind with the least one is evicted from a full table.
+type Sequence = u64;
+
+/// Estimated run time of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Estimate {
     /// Run time in milliseconds.
     pub run_ms: u64,
-    /// How far single run times lie from it, mean of the distances in milliseconds; 0
-    /// where nothing was learned.
+    /// Mean absolute error of the run time in milliseconds; 0 if nothing was learned.
     pub error_ms: u64,
-    /// Whether the run time was learned, and not only declared.
+    /// Whether the run time was learned, as opposed to declared or the default.
     pub is_learned: bool,
 }
 
-/// What a task declared and what it took.
+/// Declared and real run time and resource use of an ended task.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// Declared run time in milliseconds, 0: none.
+    /// Declared run time in milliseconds, 0 if none was declared.
     pub declared_ms: u64,
     /// Real run time in milliseconds.
     pub run_ms: u64,
-    /// The most it used; all zero: not observed.
+    /// Peak resource use; all zero if it was not observed.
     pub peak: wire::Resources,
 }
 
 #[derive(Clone, Debug)]
 struct Kind {
+    /// Number of observed run times.
     runs: u32,
     mean_ms: f64,
+    /// Mean ratio of real to declared run time.
     ratio: f64,
+    /// Mean absolute error of `mean_ms` as a prediction.
     mean_error: f64,
+    /// Mean absolute error of the declared run time times `ratio`.
     scaled_error: f64,
+    /// Number of observed peaks.
     peaks: u32,
     cpu: f64,
     memory: f64,
     accelerators: f64,
-    seen: Seen,
+    /// Last task of the kind.
+    last: Sequence,
 }
 
-/// The kinds of tasks known to one entry.
+/// Kinds of tasks known to one entry.
 #[derive(Debug, Default)]
 pub struct Table {
     kinds: collections::HashMap<(SmolStr, SmolStr), Kind>,
-    by_seen: collections::BTreeMap<Seen, (SmolStr, SmolStr)>,
-    seen: Seen,
+    /// Kinds by their last task.
+    by_sequence: collections::BTreeMap<Sequence, (SmolStr, SmolStr)>,
+    sequence: Sequence,
 }
 
 impl Table {
-    /// How many kinds are remembered.
+    /// Number of remembered kinds.
     pub fn len(&self) -> usize {
         self.kinds.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no kind is remembered.
     pub fn is_empty(&self) -> bool {
         self.kinds.is_empty()
     }
 
-    /// A task that ran to its end took so much.
+    /// Records a task that completed.
     pub fn observe(&mut self, team: &SmolStr, kind: &SmolStr, sample: &Sample) {
         let name = (team.clone(), kind.clone());
-        self.seen += 1;
-        let seen = self.seen;
+        self.sequence += 1;
+        let sequence = self.sequence;
         if let Some(known) = self.kinds.get_mut(&name) {
-            self.by_seen.remove(&known.seen);
+            self.by_sequence.remove(&known.last);
             known.learn(sample);
-            known.seen = seen;
+            known.last = sequence;
         } else {
-            self.make_room();
-            self.kinds.insert(name.clone(), Kind::new(sample, seen));
+            self.evict_if_full();
+            self.kinds.insert(name.clone(), Kind::new(sample, sequence));
         }
-        self.by_seen.insert(seen, name);
+        self.by_sequence.insert(sequence, name);
     }
 
-    /// The kind not seen for longest goes.
-    fn make_room(&mut self) {
+    /// Evicts the least recently observed kind if the table is full.
+    fn evict_if_full(&mut self) {
         if self.kinds.len() < MAX_KINDS {
             return;
         }
-        if let Some((_, oldest)) = self.by_seen.pop_first() {
+        if let Some((_, oldest)) = self.by_sequence.pop_first() {
             self.kinds.remove(&oldest);
         }
     }
 
-    /// The run time of a task that declares so much; `default_ms` where nothing is
-    /// declared or known.
+    /// Estimates the run time of a task from its declared one, 0 if none was declared.
+    ///
+    /// Uses `default_ms` if the run time is neither learned nor declared.
     pub fn run_time(
         &self,
         team: &SmolStr,
@@ -146,17 +159,17 @@
         };
         let (run_ms, error_ms) = known.predict(declared_ms);
         Estimate {
-            run_ms: whole(run_ms).into(),
-            error_ms: whole(error_ms).into(),
+            run_ms: round_up(run_ms).into(),
+            error_ms: round_up(error_ms).into(),
             is_learned: true,
         }
     }
 
-    /// What to account for on a worker, for a task that declares so much.
+    /// Returns the resources to reserve on a worker for a task with this declaration.
     ///
-    /// What was learned is bounded by the largest worker known: a few outliers must
-    /// not make a kind "never fit", since then nothing of it would run and nothing
-    /// better be learned.
+    /// Learned resources are limited to the largest known worker. Otherwise a few outliers
+    /// could make a kind fit no worker, and as none of its tasks would run, the estimate could
+    /// never be corrected.
     pub fn need(
         &self,
         team: &SmolStr,
@@ -170,15 +183,15 @@
         };
         let largest = largest();
         wire::Resources {
-            cpu_milli: whole(known.cpu).min(largest.cpu_milli),
-            memory_mib: whole(known.memory).min(largest.memory_mib),
-            accelerators: whole(known.accelerators).min(largest.accelerators),
+            cpu_milli: round_up(known.cpu).min(largest.cpu_milli),
+            memory_mib: round_up(known.memory).min(largest.memory_mib),
+            accelerators: round_up(known.accelerators).min(largest.accelerators),
         }
     }
 }
 
 impl Kind {
-    fn new(sample: &Sample, seen: Seen) -> Self {
+    fn new(sample: &Sample, last: Sequence) -> Self {
         let mut kind = Self {
             runs: 0,
             mean_ms: sample.run_ms as f64,
@@ -189,13 +202,13 @@
             cpu: 0.0,
             memory: 0.0,
             accelerators: 0.0,
-            seen,
+            last,
         };
         kind.learn(sample);
         kind
     }
 
-    /// The run time, and the error of such predictions.
+    /// Returns the predicted run time and its mean absolute error, in milliseconds.
     fn predict(&self, declared_ms: u64) -> (f64, f64) {
         if declared_ms == 0 || self.mean_error <= self.scaled_error {
             return (self.mean_ms, self.mean_error);
@@ -204,15 +217,15 @@
     }
 
     fn learn(&mut self, sample: &Sample) {
-        let real = sample.run_ms as f64;
-        let scaled = match sample.declared_ms {
+        let real_ms = sample.run_ms as f64;
+        let scaled_ms = match sample.declared_ms {
             0 => self.mean_ms,
             declared => declared as f64 * self.ratio,
         };
-        let step = NEWEST.max(1.0 / f64::from(self.runs + 1));
-        self.mean_error += step * ((real - self.mean_ms).abs() - self.mean_error);
-        self.scaled_error += step * ((real - scaled).abs() - self.scaled_error);
-        self.mean_ms += step * (real - self.mean_ms);
+        let step = NEWEST_WEIGHT.max(1.0 / f64::from(self.runs + 1));
+        self.mean_error += step * ((real_ms - self.mean_ms).abs() - self.mean_error);
+        self.scaled_error += step * ((real_ms - scaled_ms).abs() - self.scaled_error);
+        self.mean_ms += step * (real_ms - self.mean_ms);
         if let Some(ratio) = ratio(sample) {
             self.ratio += step * (ratio - self.ratio);
         }
@@ -229,19 +242,20 @@
         if self.peaks == 0 {
             (self.cpu, self.memory, self.accelerators) = (cpu, memory, accelerators);
         }
-        self.cpu += NEWEST * (cpu - self.cpu);
+        self.cpu += NEWEST_WEIGHT * (cpu - self.cpu);
         let step = if memory > self.memory {
-            MEMORY_UP
+            MEMORY_STEP_UP
         } else {
-            MEMORY_DOWN
+            MEMORY_STEP_DOWN
         };
         self.memory += step * (memory - self.memory);
-        let faded = self.accelerators - NEWEST * self.accelerators.min(1.0);
-        self.accelerators = accelerators.max(faded);
+        let decayed = self.accelerators - NEWEST_WEIGHT * self.accelerators.min(1.0);
+        self.accelerators = accelerators.max(decayed);
         self.peaks = self.peaks.saturating_add(1);
     }
 }
 
+/// Returns the ratio of real to declared run time, if one was declared.
 fn ratio(sample: &Sample) -> Option<f64> {
     let declared = (sample.declared_ms > 0).then_some(sample.declared_ms as f64)?;
     Some(sample.run_ms as f64 / declared)
@@ -250,8 +264,8 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a float that is too large or negative is brought to the nearest whole number"
+    reason = "the cast saturates at the bounds of the type"
 )]
-fn whole(value: f64) -> u32 {
+fn round_up(value: f64) -> u32 {
     value.ceil().max(0.0) as u32
 }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,11 +1,11 @@
-//! Which runner a task goes to.
+//! Selection of the runner for a task.
 //!
-//! Answers the load pattern of several entries that share slots which only the
-//! runners know. Each entry sends to the runner with the most free slots by its own
-//! view, corrected by what it has in flight itself; the view comes with every answer.
-//! Without it (a random runner) tasks wait at one runner while slots stand idle at
-//! another. A [`Pool`] is made once for all tasks that are handed out together and
-//! kept up to date by [`Pool::sent`], so that many tasks don't cost as many views.
+//! Several entries share slots whose state only the runners know. Each entry sends a task to
+//! the runner with the most free slots according to the last report, which comes with every
+//! answer, corrected by the entry's own tasks in flight. With a random runner instead, tasks
+//! would wait at one runner while slots are idle at another. A [`Pool`] is built once for all
+//! tasks that are sent together and kept up to date by [`Pool::sent`], so that the runners are
+//! not listed again for each task.
 
 use crate::health;
 use crate::jobs;
@@ -13,53 +13,53 @@
 use crate::settings;
 use crate::wire;
 
-/// A runner as it looks to one decision.
+/// State of a runner for one placement decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Which.
+    /// The runner.
     pub key: membership::RunnerKey,
-    /// Whether it is in the entry's own availability zone.
+    /// Whether it is in the availability zone of the entry.
     pub is_near: bool,
-    /// Whether its last task failed although such tasks do well elsewhere.
+    /// Whether its last task failed although tasks of that kind succeed elsewhere.
     pub is_suspect: bool,
-    /// How far it is thought to be as fast as others.
+    /// How far it is trusted to be as fast as other runners.
     pub trust: health::Trust,
-    /// Its rack.
+    /// The runner's rack.
     pub rack: membership::Rack,
-    /// Slots thought to be free; below zero: tasks wait there.
+    /// Estimated number of free slots; negative if tasks wait there.
     pub free_slots: i64,
-    /// Tasks of this entry thought to wait there.
+    /// Estimated number of this entry's tasks that wait there.
     pub parked: u32,
-    /// How many more tasks it may be sent: a probed one or one in a returning zone
-    /// has less room than slots, and nothing may wait there.
+    /// Maximum number of further tasks, if limited. A runner that is probed or in a returning
+    /// zone gets fewer tasks than it has slots, and no task may wait there.
     pub send_limit: Option<u32>,
-    /// What is thought to be free of the worker.
+    /// Estimated free resources of the worker.
     pub free: wire::Resources,
-    /// The worker's size.
+    /// Total resources of the worker.
     pub size: wire::Resources,
 }
 
-/// What to do with a task.
+/// Placement decision for a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Choice {
-    /// Send it to the candidate at this place of the pool.
+    /// Send it to the candidate at this index of the pool.
     Send(usize),
-    /// Keep it until something comes free.
+    /// Keep it in the queue until there is free capacity.
     Wait,
-    /// No worker is large enough.
+    /// Every worker is too small.
     NeverFits,
-    /// There is no runner in service.
+    /// No runner is in service.
     NoCapacity,
 }
 
-/// How good a candidate is; the greatest is taken.
+/// Score of a candidate; the greatest is chosen.
 ///
-/// In this order: no suspect while there is another, a free slot before a wait, none
-/// that is perhaps slow, most free slots, and fewest tasks of the same job in the rack, so that a rack's
-/// loss costs as few jobs as may be.
+/// The criteria, most important first: not suspect; has a free slot; not suspected to be slow;
+/// most free slots; fewest tasks of the same job in its rack, so that the loss of a rack costs
+/// as few jobs as possible.
 type Score = (bool, bool, bool, i64, i64);
 
-/// Tasks of one submission in each rack.
+/// Number of tasks of one submission in each rack.
 #[derive(Clone, Debug, Default)]
 pub struct RackSpread {
     submission: Option<jobs::Key>,
@@ -67,12 +67,12 @@
 }
 
 impl RackSpread {
-    /// Whether this counts the tasks of that submission.
+    /// Whether the counts are for this submission.
     pub fn is_of(&self, submission: jobs::Key) -> bool {
         self.submission == Some(submission)
     }
 
-    /// Counts anew, for another submission.
+    /// Resets the counts for another submission.
     pub fn restart(&mut self, submission: jobs::Key) {
         self.submission = Some(submission);
         self.racks.clear();
@@ -87,21 +87,22 @@
         self.racks[at] += 1;
     }
 
-    fn of(&self, rack: membership::Rack) -> i64 {
+    fn count(&self, rack: membership::Rack) -> i64 {
         self.racks.get(rack.0 as usize).copied().unwrap_or(0).into()
     }
 }
 
-/// The runners that may be sent something now.
+/// Runners that can be sent tasks now.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     candidates: Vec<Candidate>,
-    /// Whether the task to be placed has time to spare.
+    /// Whether the task to place would meet its target time even on a slow runner, so that it
+    /// can serve as a first probe.
     pub has_slack: bool,
 }
 
 impl Pool {
-    /// Makes a pool of these.
+    /// Creates a pool.
     pub const fn new(candidates: Vec<Candidate>) -> Self {
         Self {
             candidates,
@@ -109,22 +110,22 @@
         }
     }
 
-    /// The candidate at a place that was chosen.
-    pub fn candidate_at(&self, place: usize) -> Option<&Candidate> {
-        self.candidates.get(place)
+    /// Returns the candidate at a chosen index.
+    pub fn candidate_at(&self, index: usize) -> Option<&Candidate> {
+        self.candidates.get(index)
     }
 
-    /// Whether not even a task that needs nothing could be sent.
+    /// Whether no runner could be sent even a task without resource needs.
     pub fn is_full(&self, policy: &settings::Policy) -> bool {
         let nothing = wire::Resources::default();
-        let is_usable = |one: &Candidate| is_usable(one, &nothing, policy);
+        let is_usable = |candidate: &Candidate| is_usable(candidate, &nothing, policy);
         !self.candidates.iter().any(is_usable)
     }
 
-    /// Chooses a runner for a task that needs so much.
+    /// Chooses a runner for a task with these resource needs.
     ///
-    /// `draw` is a random number that breaks ties, so that entries with the same
-    /// view do not all run to the same runner.
+    /// `draw` is a random number that breaks ties, so that entries with the same information
+    /// do not all choose the same runner.
     pub fn choose(
         &self,
         need: &wire::Resources,
@@ -134,8 +135,8 @@
     ) -> Choice {
         let mut best: Option<Score> = None;
         let mut ties = 0;
-        for one in self.usable(need, policy) {
-            let score = score(one.1, spread, policy);
+        for indexed in self.usable(need, policy) {
+            let score = score(indexed.1, spread, policy);
             if best.is_none_or(|best| score > best) {
                 best = Some(score);
                 ties = 0;
@@ -143,15 +144,15 @@
             ties += u64::from(best == Some(score));
         }
         let Some(best) = best else {
-            return self.why_none(need);
+            return self.unplaceable(need);
         };
         let nth = usize::try_from(draw % ties).unwrap_or(0);
         let mut equals = self
             .usable(need, policy)
-            .filter(|(_, one)| score(one, spread, policy) == best);
+            .filter(|(_, candidate)| score(candidate, spread, policy) == best);
         equals
             .nth(nth)
-            .map_or(Choice::Wait, |(place, _)| Choice::Send(place))
+            .map_or(Choice::Wait, |(index, _)| Choice::Send(index))
     }
 
     fn usable(
@@ -160,62 +161,70 @@
         policy: &settings::Policy,
     ) -> impl Iterator<Item = (usize, &Candidate)> {
         let all = self.candidates.iter().enumerate();
-        all.filter(move |(_, one)| self.may_try(one) && is_usable(one, need, policy))
+        all.filter(move |(_, candidate)| {
+            self.allows_probe(candidate) && is_usable(candidate, need, policy)
+        })
     }
 
-    fn may_try(&self, one: &Candidate) -> bool {
-        self.has_slack || one.trust != health::Trust::FirstProbe
+    /// Whether the task may be used for a first probe, if the candidate needs one.
+    fn allows_probe(&self, candidate: &Candidate) -> bool {
+        self.has_slack || candidate.trust != health::Trust::FirstProbe
     }
 
-    fn why_none(&self, need: &wire::Resources) -> Choice {
+    /// Returns the decision for a task that no candidate can be sent.
+    fn unplaceable(&self, need: &wire::Resources) -> Choice {
         if self.candidates.is_empty() {
             return Choice::NoCapacity;
         }
-        if self.candidates.iter().any(|one| need.fits_in(&one.size)) {
+        if self
+            .candidates
+            .iter()
+            .any(|candidate| need.fits_in(&candidate.size))
+        {
             return Choice::Wait;
         }
         Choice::NeverFits
     }
 
-    /// A task was sent to the candidate at this place.
-    pub fn sent(&mut self, place: usize, need: &wire::Resources) {
-        let Some(one) = self.candidates.get_mut(place) else {
+    /// Records that a task was sent to the candidate at this index.
+    pub fn sent(&mut self, index: usize, need: &wire::Resources) {
+        let Some(candidate) = self.candidates.get_mut(index) else {
             return;
         };
-        if one.free_slots <= 0 {
-            one.parked += 1;
+        if candidate.free_slots <= 0 {
+            candidate.parked += 1;
         }
-        one.free_slots -= 1;
-        one.send_limit = one
+        candidate.free_slots -= 1;
+        candidate.send_limit = candidate
             .send_limit
             .map(|send_limit| send_limit.saturating_sub(1));
-        one.free = one.free.minus(need);
+        candidate.free = candidate.free.minus(need);
     }
 }
 
-fn score(one: &Candidate, spread: &RackSpread, policy: &settings::Policy) -> Score {
-    let near = if one.is_near {
+fn score(candidate: &Candidate, spread: &RackSpread, policy: &settings::Policy) -> Score {
+    let near = if candidate.is_near {
         i64::from(policy.near_zone_bias)
     } else {
         0
     };
-    let has_free = one.free_slots > 0;
-    let job_in_rack = spread.of(one.rack);
+    let has_free = candidate.free_slots > 0;
+    let tasks_in_rack = spread.count(candidate.rack);
     (
-        !one.is_suspect,
+        !candidate.is_suspect,
         has_free,
-        one.trust != health::Trust::SuspectedSlow,
-        one.free_slots + near,
-        -job_in_rack,
+        candidate.trust != health::Trust::SuspectedSlow,
+        candidate.free_slots + near,
+        -tasks_in_rack,
     )
 }
 
-fn is_usable(one: &Candidate, need: &wire::Resources, policy: &settings::Policy) -> bool {
-    if let Some(send_limit) = one.send_limit {
-        return send_limit > 0 && one.free_slots > 0 && need.fits_in(&one.free);
+fn is_usable(candidate: &Candidate, need: &wire::Resources, policy: &settings::Policy) -> bool {
+    if let Some(limit) = candidate.send_limit {
+        return limit > 0 && candidate.free_slots > 0 && need.fits_in(&candidate.free);
     }
-    if one.free_slots > 0 {
-        return need.fits_in(&one.free);
+    if candidate.free_slots > 0 {
+        return need.fits_in(&candidate.free);
     }
-    need.fits_in(&one.size) && one.parked < policy.park_per_runner
+    need.fits_in(&candidate.size) && candidate.parked < policy.park_per_runner
 }
--- a/src/ramp.rs
+++ b/src/ramp.rs
@@ -1,10 +1,10 @@
-//! The return of availability zones.
+//! Gradual return of availability zones to service.
 //!
-//! Answers the load pattern of a zone that comes back empty while the others are
-//! full: all that waits would go there within a round trip, before a single task has
-//! shown that the zone is well. Instead its share of slots grows to the whole over
-//! `policy.ramp_ms`. How long that is, each deployment says: work done asks for a
-//! short ramp, response time for one in which a bad zone shows first.
+//! A zone returns empty while the other zones are full. Without a ramp all waiting tasks would
+//! go there within a round trip, before a single task has shown that the zone is healthy. So
+//! the usable share of its slots grows to all of them over `policy.ramp_ms`. Its length is a
+//! trade-off for each deployment: a short ramp favours throughput, a long one response time,
+//! since a faulty zone is detected before it has much work.
 
 use std::collections;
 
@@ -12,31 +12,31 @@
 
 use crate::settings;
 
-/// When a zone came back, and with which revision.
+/// Time of a zone's return, and the revision of the settings that returned it.
 #[derive(Clone, Copy, Debug)]
 struct Return {
     at_ms: u64,
     revision: Option<u64>,
 }
 
-/// The zones that came back lately.
+/// Zones that have returned to service.
 #[derive(Clone, Debug, Default)]
 pub struct Ramps {
     returns: collections::BTreeMap<SmolStr, Return>,
 }
 
-/// How far a zone has come back.
+/// Slots of a runner that may be used.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Share {
-    /// All slots may be used.
-    Whole,
-    /// So many of its slots may be used.
+    /// All slots.
+    All,
+    /// This number of slots.
     Slots(u32),
 }
 
 impl Ramps {
-    /// New settings are in force: notes the zones that come back with them.
-    pub fn change(
+    /// Records the zones that a change of the settings returns to service.
+    pub fn settings_changed(
         &mut self,
         now_ms: u64,
         old: &settings::Settings,
@@ -51,11 +51,11 @@
         self.returns.retain(|zone, _| !new.is_zone_out(zone));
     }
 
-    /// How many of a runner's slots may be used now.
+    /// Returns how many of a runner's slots may be used now.
     ///
-    /// A runner that has not heard of its zone's return would refuse whatever it is
-    /// sent, so it has no share until its own revision shows that it knows. At least
-    /// one slot is used from then on: only work can show that the zone is well.
+    /// A runner whose settings predate the return of its zone refuses every task, so no slot is
+    /// used until the runner reports the new revision. From then on at least one slot is used,
+    /// since only tasks can show that the zone is healthy.
     pub fn share(
         &self,
         now_ms: u64,
@@ -64,18 +64,18 @@
         revision: Option<u64>,
         ramp_ms: u32,
     ) -> Share {
-        let Some(back) = self.returns.get(zone) else {
-            return Share::Whole;
+        let Some(recorded) = self.returns.get(zone) else {
+            return Share::All;
         };
-        if revision < back.revision {
+        if revision < recorded.revision {
             return Share::Slots(0);
         }
-        let passed_ms = now_ms.saturating_sub(back.at_ms);
+        let elapsed_ms = now_ms.saturating_sub(recorded.at_ms);
         let ramp_ms = u64::from(ramp_ms);
-        if passed_ms >= ramp_ms {
-            return Share::Whole;
+        if elapsed_ms >= ramp_ms {
+            return Share::All;
         }
-        let part = (u64::from(slots) * passed_ms).div_ceil(ramp_ms);
-        Share::Slots(u32::try_from(part).unwrap_or(slots).clamp(1, slots))
+        let usable = (u64::from(slots) * elapsed_ms).div_ceil(ramp_ms);
+        Share::Slots(u32::try_from(usable).unwrap_or(slots).clamp(1, slots))
     }
 }
--- a/src/retry/mod.rs
+++ b/src/retry/mod.rs
@@ -1,9 +1,9 @@
-//! Starting idempotent tasks again, within a budget.
+//! Retries of idempotent tasks within a budget.
 //!
-//! When a backend server dies under load, everything on it is to be started again
-//! at once, and retries without a bound would be one more burst on what is left.
-//! The budget lets `retry_burst` retries through at once and `retry_ratio` retries
-//! per first attempt over time; what it does not let through fails as lost.
+//! When a backend server dies under load, all its tasks need a retry at once, and unlimited
+//! retries would be a further burst on the remaining servers. The budget allows
+//! `retry_burst` retries at once and `retry_ratio` retries per first attempt over time. A
+//! task beyond the budget fails as lost.
 
 use std::collections;
 use std::time;
@@ -14,36 +14,36 @@
 use crate::queue;
 use crate::settings;
 
-/// Longest pause before the first retry, in milliseconds; half of it is certain.
+/// Shortest delay before the first retry, in milliseconds; the jitter adds up to as much again.
 const MIN_DELAY_MS: u64 = 20;
 
-/// The pauses double up to this one, in milliseconds.
+/// Upper bound of the doubling delays, in milliseconds; the jitter adds up to as much again.
 const MAX_DELAY_MS: u64 = 1_000;
 
-/// Most retries of one task.
+/// Maximum number of retries of one task.
 pub const MAX_RETRIES: usize = 8;
 
-/// Retries that may still be made.
+/// Token bucket of retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
     tokens: f64,
 }
 
 impl Budget {
-    /// A budget that is full.
+    /// Creates a full budget.
     pub fn new(policy: &settings::Policy) -> Self {
         Self {
             tokens: f64::from(policy.retry_burst),
         }
     }
 
-    /// So many tasks were taken in for their first attempt.
+    /// Adds the retries earned by `tasks` accepted tasks, up to `retry_burst`.
     pub fn earn(&mut self, tasks: usize, policy: &settings::Policy) {
         let earned = tasks as f64 * policy.retry_ratio;
         self.tokens = (self.tokens + earned).min(policy.retry_burst.into());
     }
 
-    /// Takes one retry out, if there is one.
+    /// Takes one retry from the budget; returns `false` if there is none.
     pub fn take(&mut self) -> bool {
         if self.tokens < 1.0 {
             return false;
@@ -53,7 +53,9 @@
     }
 }
 
-/// Pause before the retry of this number, counted from 0; none: no more retries.
+/// Returns the delay before a retry in milliseconds, or `None` after the last retry.
+///
+/// `retry` counts from 0.
 pub fn delay_ms(retry: usize, seed: u64) -> Option<u64> {
     let mut delays = backon::ExponentialBuilder::new()
         .with_min_delay(time::Duration::from_millis(MIN_DELAY_MS))
@@ -66,34 +68,37 @@
     u64::try_from(delay.as_millis()).ok()
 }
 
-/// Tasks on their way to another attempt.
+/// Tasks that wait for their retry.
 #[derive(Debug)]
 pub struct Retries {
     budget: Budget,
+    /// Tasks by due time and sequence number.
     waiting: collections::BTreeMap<(u64, u64), queue::Item>,
+    /// Number of retries made per task.
     made: collections::HashMap<jobs::TaskKey, usize>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Retries {
-    /// Nothing is waiting and the budget is full.
+    /// Creates an empty set with a full budget.
     pub fn new(policy: &settings::Policy) -> Self {
         Self {
             budget: Budget::new(policy),
             waiting: collections::BTreeMap::new(),
             made: collections::HashMap::new(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 
-    /// See [`Budget::earn`].
+    /// Adds to the budget, see [`Budget::earn`].
     pub fn earn(&mut self, tasks: usize, policy: &settings::Policy) {
         self.budget.earn(tasks, policy);
     }
 
-    /// Takes in a task that may have run; says whether it will be started again.
+    /// Schedules the retry of a task that may have run; returns whether it will be retried.
     ///
-    /// A retry that would begin at or after `deadline_ms` is not made.
+    /// There is no retry beyond the budget or [`MAX_RETRIES`], nor one that would start at or
+    /// after `deadline_ms`.
     pub fn schedule(
         &mut self,
         now_ms: u64,
@@ -110,19 +115,19 @@
             return false;
         }
         self.made.insert(item.task, made + 1);
-        self.waiting.insert((due_ms, self.next), item);
-        self.next += 1;
+        self.waiting.insert((due_ms, self.next_sequence), item);
+        self.next_sequence += 1;
         true
     }
 
-    /// Tasks whose pause is over.
+    /// Removes and returns the tasks whose delay has passed.
     pub fn due(&mut self, now_ms: u64) -> Vec<queue::Item> {
         let later = self.waiting.split_off(&(now_ms.saturating_add(1), 0));
         let due = std::mem::replace(&mut self.waiting, later);
         due.into_values().collect()
     }
 
-    /// Forgets the tasks of a submission that is over.
+    /// Drops the tasks of a submission that has ended.
     pub fn forget(&mut self, submission: jobs::Key) {
         self.made.retain(|task, _| task.submission != submission);
         self.waiting
--- a/tests/unit/leading.rs
+++ b/tests/unit/leading.rs
@@ -1,4 +1,4 @@
-//! Which entry leads, and the tickets kept of it.
+//! Selection of the leading entry, and the stock of its tickets.
 
 use std::collections;
 
@@ -14,11 +14,11 @@
 
 const CASES: u32 = 512;
 
-fn peer(name: &str, life: u64) -> wire::Peer {
+fn peer(name: &str, value: u64) -> wire::Peer {
     wire::Peer {
         role: wire::Role::Entry,
         name: SmolStr::new(name),
-        incarnation: ids::Incarnation(life),
+        incarnation: ids::Incarnation(value),
         zone: SmolStr::new("bento"),
         rack: SmolStr::new("a"),
         address: SmolStr::new(name),
@@ -26,52 +26,52 @@
 }
 
 fn candidates<'a>(
-    told: &'a [(u64, bool, u32)],
+    reports: &'a [(u64, bool, u32)],
     peers: &'a [wire::Peer],
 ) -> impl Iterator<Item = leading::Candidate<'a>> {
-    let both = told.iter().zip(peers);
-    both.map(|((_, is_zone_out, slots), peer)| leading::Candidate {
+    let pairs = reports.iter().zip(peers);
+    pairs.map(|((_, is_zone_out, slots), peer)| leading::Candidate {
         peer,
         is_zone_out: *is_zone_out,
         slots: *slots,
     })
 }
 
-/// Whoever asks, and in whatever order it knows the others, those with the same view have
-/// the same leader: naively, the first of a list sorted by zone, life and name.
+/// The leader does not depend on the order of the candidates: it is the first eligible entry
+/// when sorted by zone state, incarnation and name.
 #[test]
-fn entries_with_the_same_view_have_the_same_leader() {
+fn entries_with_the_same_information_choose_the_same_leader() {
     let mut runner = fixtures::fixed_runner(CASES);
-    let told = (0_u64..4, any::<bool>(), 0_u32..100);
-    let input = (collection::vec(told, 0..6), 0_u32..100);
+    let report = (0_u64..4, any::<bool>(), 0_u32..100);
+    let input = (collection::vec(report, 0..6), 0_u32..100);
 
-    let verdict = runner.run(&input, |(told, slots)| {
-        let named = told.iter().enumerate();
+    let result = runner.run(&input, |(reports, slots)| {
+        let named = reports.iter().enumerate();
         let peers: Vec<_> = named
             .map(|(at, one)| peer(&at.to_string(), one.0))
             .collect();
-        let forth = leading::leader(candidates(&told, &peers), slots);
-        let all: Vec<_> = candidates(&told, &peers).collect();
-        let back = leading::leader(all.iter().rev().copied(), slots);
-        let mut naive: Vec<_> = all
+        let forward = leading::leader(candidates(&reports, &peers), slots);
+        let all: Vec<_> = candidates(&reports, &peers).collect();
+        let backward = leading::leader(all.iter().rev().copied(), slots);
+        let mut model: Vec<_> = all
             .iter()
             .filter(|one| one.slots > 0 && u64::from(one.slots) * 4 >= u64::from(slots) * 3)
             .collect();
-        naive.sort_by_key(|one| (one.is_zone_out, one.peer.incarnation, one.peer.name.clone()));
-        prop_assert_eq!(forth, naive.first().map(|one| one.peer));
-        prop_assert_eq!(forth, back);
+        model.sort_by_key(|one| (one.is_zone_out, one.peer.incarnation, one.peer.name.clone()));
+        prop_assert_eq!(forward, model.first().map(|one| one.peer));
+        prop_assert_eq!(forward, backward);
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
 
 #[rstest]
-#[case::half_is_left(45, 1, 88, false)]
-#[case::less_than_half_is_left(45, 2, 88, true)]
-#[case::a_large_job(88, 45, 88, true)]
-#[case::more_waits_than_is_free(-5, 0, 88, true)]
-fn slots_are_scarce_below_a_part(
+#[case::half_of_the_slots_stay_free(45, 1, 88, false)]
+#[case::less_than_half_stay_free(45, 2, 88, true)]
+#[case::large_job(88, 45, 88, true)]
+#[case::backlog_exceeds_the_free_slots(-5, 0, 88, true)]
+fn slots_are_scarce_below_the_free_fraction(
     #[case] free: i64,
     #[case] tasks: usize,
     #[case] slots: u32,
@@ -82,63 +82,63 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Op {
-    Pass { ms: u64 },
-    Add { minter: usize, count: u32 },
-    Take { minter: usize },
+    Wait { ms: u64 },
+    Add { issuer: usize, count: u32 },
+    Take { issuer: usize },
 }
 
 fn ops() -> impl Strategy<Value = Vec<Op>> {
     let op = prop_oneof![
-        (1_u64..3_000).prop_map(|ms| Op::Pass { ms }),
-        (0_usize..2, 0_u32..4).prop_map(|(minter, count)| Op::Add { minter, count }),
-        (0_usize..2).prop_map(|minter| Op::Take { minter }),
+        (1_u64..3_000).prop_map(|ms| Op::Wait { ms }),
+        (0_usize..2, 0_u32..4).prop_map(|(issuer, count)| Op::Add { issuer, count }),
+        (0_usize..2).prop_map(|issuer| Op::Take { issuer }),
     ];
     collection::vec(op, 1..60)
 }
 
-/// A ticket is given once, by the minter asked for, and never when it is old: against a
-/// plain list of tickets with their times, emptied when another entry's come.
+/// Each ticket is taken at most once, only for its issuer and not after its lifetime in the
+/// stock. The model is a list of tickets with their times, cleared when the issuer changes.
 #[test]
-fn stock_gives_each_ticket_once_and_no_old_ones() {
+fn ticket_is_taken_once_and_not_after_its_lifetime() {
     let mut runner = fixtures::fixed_runner(CASES);
-    let minters = [peer("entry-0", 1), peer("entry-0", 2)];
+    let issuers = [peer("entry-0", 1), peer("entry-0", 2)];
 
-    let verdict = runner.run(&ops(), |ops| {
+    let result = runner.run(&ops(), |ops| {
         let mut stock = leading::TicketStock::default();
         let (mut now_ms, mut next) = (0, 0);
-        let mut of = None;
-        let mut naive: collections::VecDeque<(u64, u64)> = collections::VecDeque::new();
+        let mut stocked = None;
+        let mut model: collections::VecDeque<(u64, u64)> = collections::VecDeque::new();
         for op in ops {
             match op {
-                Op::Pass { ms } => now_ms += ms,
-                Op::Add { minter, count } => {
+                Op::Wait { ms } => now_ms += ms,
+                Op::Add { issuer, count } => {
                     let (epoch, first) = (1, next);
                     let tickets = wire::TicketRange {
                         epoch,
                         first,
                         count,
                     };
-                    stock.add(now_ms, &minters[minter], tickets);
-                    if of != Some(minter) {
-                        naive.clear();
-                        of = Some(minter);
+                    stock.add(now_ms, &issuers[issuer], tickets);
+                    if stocked != Some(issuer) {
+                        model.clear();
+                        stocked = Some(issuer);
                     }
-                    naive.extend((0..u64::from(count)).map(|at| (next + at, now_ms)));
+                    model.extend((0..u64::from(count)).map(|at| (next + at, now_ms)));
                     next += u64::from(count);
                 }
-                Op::Take { minter } => {
-                    let taken = stock.take(now_ms, &minters[minter]);
-                    if of != Some(minter) {
-                        naive.clear();
+                Op::Take { issuer } => {
+                    let taken = stock.take(now_ms, &issuers[issuer]);
+                    if stocked != Some(issuer) {
+                        model.clear();
                     }
-                    naive.retain(|(_, at_ms)| at_ms + leading::STOCK_LIFETIME_MS > now_ms);
-                    let expected = naive.pop_front().map(|(number, _)| number);
+                    model.retain(|(_, at_ms)| at_ms + leading::STOCK_LIFETIME_MS > now_ms);
+                    let expected = model.pop_front().map(|(number, _)| number);
                     let number = taken.map(|id| match id {
                         ids::SubmissionId::Ticket(ticket) => {
-                            assert_eq!(ticket.incarnation, minters[minter].incarnation);
+                            assert_eq!(ticket.incarnation, issuers[issuer].incarnation);
                             ticket.number
                         }
-                        ids::SubmissionId::Own(_) => unreachable!("a ticket"),
+                        ids::SubmissionId::Own(_) => unreachable!("the stock holds only tickets"),
                     });
                     prop_assert_eq!(number, expected);
                 }
@@ -147,5 +147,5 @@
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
--- a/tests/unit/learning.rs
+++ b/tests/unit/learning.rs
@@ -1,4 +1,4 @@
-//! What is learned of run times and sizes.
+//! Learned run times and resource needs.
 
 use bulrushtiller::learning;
 use bulrushtiller::wire;
@@ -34,7 +34,7 @@
     }
 }
 
-/// A table that saw these declared and real run times of one kind.
+/// Returns a table that has observed these declared and real run times of one kind.
 fn table(samples: impl IntoIterator<Item = (u64, u64)>) -> learning::Table {
     let mut table = learning::Table::default();
     for (declared_ms, run_ms) in samples {
@@ -49,8 +49,8 @@
 
 #[rstest]
 #[case::declared(100, 100)]
-#[case::nothing_declared(0, DEFAULT_MS)]
-fn before_enough_was_seen_the_declared_time_counts(#[case] declared: u64, #[case] expected: u64) {
+#[case::not_declared(0, DEFAULT_MS)]
+fn declared_time_is_used_before_enough_samples(#[case] declared: u64, #[case] expected: u64) {
     let table = table([(100, 900); learning::MIN_SAMPLES as usize - 1]);
 
     let estimate = run_time(&table, declared);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn declarations_off_by_a_factor_still_tell_long_from_short() {
+fn declarations_off_by_a_factor_are_scaled() {
     let table = table((0..100).map(|n| (10 + n % 10 * 10, 100 + n % 10 * 100)));
 
     let short = run_time(&table, 10).run_ms;
@@ -70,9 +70,9 @@
     assert!((950..=1_050).contains(&long), "{long}");
 }
 
-/// The naive version is the plain mean over all that was seen.
+/// The learned run time is compared with the plain mean of all samples.
 #[test]
-fn declarations_that_tell_nothing_are_passed_over() {
+fn declarations_without_information_are_ignored() {
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     let mut pair = || (rng.random_range(1..10_000), rng.random_range(200..400));
     let samples: Vec<(u64, u64)> = (0..500).map(|_| pair()).collect();
@@ -85,16 +85,16 @@
 }
 
 #[test]
-fn memory_follows_the_larger_tasks() {
+fn memory_estimate_follows_the_larger_tasks() {
     let mut table = learning::Table::default();
     let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(7);
     for _ in 0..2_000 {
         let peak = memory(rng.random_range(1_000..2_000));
-        let seen = learning::Sample {
+        let observed = learning::Sample {
             peak,
             ..sample(100, 100)
         };
-        table.observe(&name("a"), &name("check"), &seen);
+        table.observe(&name("a"), &name("check"), &observed);
     }
 
     let need = table.need(&name("a"), &name("check"), memory(1), || LARGEST);
@@ -106,7 +106,7 @@
 #[rstest]
 #[case::another_team("b", "check")]
 #[case::another_kind("a", "copy")]
-fn nothing_is_learned_from_others(#[case] team: &str, #[case] kind: &str) {
+fn samples_of_another_team_or_kind_are_not_used(#[case] team: &str, #[case] kind: &str) {
     let table = table([(100, 900); 20]);
 
     let estimate = table.run_time(&name(team), &name(kind), 100, DEFAULT_MS);
@@ -115,14 +115,14 @@
 }
 
 #[test]
-fn what_was_learned_never_makes_a_kind_unplaceable() {
+fn learned_need_fits_the_largest_worker() {
     let mut table = learning::Table::default();
     for _ in 0..20 {
-        let seen = learning::Sample {
+        let observed = learning::Sample {
             peak: memory(64_000),
             ..sample(100, 100)
         };
-        table.observe(&name("a"), &name("check"), &seen);
+        table.observe(&name("a"), &name("check"), &observed);
     }
 
     let need = table.need(&name("a"), &name("check"), memory(1), || LARGEST);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn the_table_is_bounded_and_forgets_what_was_not_seen_for_longest() {
+fn full_table_evicts_the_least_recently_observed_kind() {
     let mut table = table([(100, 900); 20]);
     let busy = name("busy");
     for _ in 0..20 {
--- a/tests/unit/placement.rs
+++ b/tests/unit/placement.rs
@@ -1,4 +1,4 @@
-//! Placement against a brute-force choice, and its guards.
+//! Placement, compared with a brute-force choice.
 
 use bulrushtiller::health;
 use bulrushtiller::membership;
@@ -33,7 +33,7 @@
     }
 }
 
-/// An idle runner of eight slots and 16 cores in another zone.
+/// Returns an idle runner with 8 slots and 16 cores in another zone.
 fn candidate(key: membership::RunnerKey) -> placement::Candidate {
     placement::Candidate {
         key,
@@ -83,8 +83,8 @@
     keys.into_iter().zip(raw).map(one).collect()
 }
 
-/// Whether a task may go there, said as plainly as can be.
-fn may_go(one: &placement::Candidate, need: u32, park: u32) -> bool {
+/// Whether the candidate can take a task with this need.
+fn is_allowed(one: &placement::Candidate, need: u32, park: u32) -> bool {
     let has_slot = one.free_slots > 0 && need <= one.free.cpu_milli;
     match one.send_limit {
         Some(0) => false,
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn the_choice_is_one_that_no_other_candidate_beats() {
+fn chosen_candidate_is_allowed_and_no_other_is_better() {
     let mut runner = fixtures::fixed_runner(CASES);
     let input = (
         collection::vec(raw(), 0..8),
@@ -118,38 +118,38 @@
         proptest::num::u64::ANY,
     );
 
-    let verdict = runner.run(&input, |(raw, need, (park, bias), draw)| {
+    let result = runner.run(&input, |(raw, need, (park, bias), draw)| {
         let candidates = drawn(&raw);
         let pool = pool_of(&candidates);
         let spread = placement::RackSpread::default();
         let choice = pool.choose(&cpu(need), &spread, &policy(park, bias), draw);
-        let able: Vec<_> = candidates
+        let allowed: Vec<_> = candidates
             .iter()
-            .filter(|one| may_go(one, need, park))
+            .filter(|one| is_allowed(one, need, park))
             .collect();
         let fits = candidates.iter().any(|one| need <= one.size.cpu_milli);
         match choice {
             placement::Choice::Send(at) => {
                 let chosen = &candidates[at];
-                assert!(may_go(chosen, need, park));
-                assert!(!able.iter().any(|one| is_better(one, chosen, bias)));
+                assert!(is_allowed(chosen, need, park));
+                assert!(!allowed.iter().any(|one| is_better(one, chosen, bias)));
             }
-            placement::Choice::Wait => assert!(able.is_empty() && fits),
+            placement::Choice::Wait => assert!(allowed.is_empty() && fits),
             placement::Choice::NeverFits => assert!(!fits && !candidates.is_empty()),
             placement::Choice::NoCapacity => assert!(candidates.is_empty()),
         }
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
 
 #[test]
-fn a_pool_never_sends_more_than_slots_and_bound_allow() {
+fn pool_sends_exactly_as_many_tasks_as_its_limits_allow() {
     let mut runner = fixtures::fixed_runner(CASES);
     let input = (collection::vec(raw(), 1..6), 0_u32..3);
 
-    let verdict = runner.run(&input, |(raw, park)| {
+    let result = runner.run(&input, |(raw, park)| {
         let candidates = drawn(&raw);
         let mut pool = pool_of(&candidates);
         let spread = placement::RackSpread::default();
@@ -161,20 +161,20 @@
         assert!(pool.is_full(&policy(park, 0)));
         for (one, sent) in candidates.iter().zip(sent) {
             let slots = one.free_slots.max(0);
-            let waits = i64::from(park.saturating_sub(one.parked));
-            let most = one
+            let parkable = i64::from(park.saturating_sub(one.parked));
+            let limit = one
                 .send_limit
-                .map_or(slots + waits, |send_limit| slots.min(send_limit.into()));
-            assert_eq!(sent, most);
+                .map_or(slots + parkable, |send_limit| slots.min(send_limit.into()));
+            assert_eq!(sent, limit);
         }
         Ok(())
     });
 
-    verdict.unwrap();
+    result.unwrap();
 }
 
 #[test]
-fn a_free_slot_far_away_goes_before_a_wait_near_by() {
+fn free_slot_in_another_zone_is_preferred_to_waiting_in_the_own_zone() {
     let keys = keys(2);
     let near_and_full = placement::Candidate {
         is_near: true,
@@ -194,9 +194,9 @@
 }
 
 #[rstest]
-#[case::first(0)]
-#[case::second(1)]
-fn of_equals_the_rack_with_fewer_tasks_of_the_job_is_taken(#[case] crowded: u32) {
+#[case::first_rack(0)]
+#[case::second_rack(1)]
+fn among_equal_candidates_the_rack_with_fewer_tasks_of_the_job_is_chosen(#[case] crowded: u32) {
     let keys = keys(2);
     let in_rack = |at: usize| placement::Candidate {
         rack: membership::Rack(u32::try_from(at).unwrap_or(0)),
--- a/tests/unit/retry.rs
+++ b/tests/unit/retry.rs
@@ -1,4 +1,4 @@
-//! The retry budget, against a naive count.
+//! The retry budget, compared with an integer count, and the schedule of retries.
 
 use bulrushtiller::jobs;
 use bulrushtiller::queue;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn budget_equals_a_naive_count_in_quarters() {
+fn budget_equals_a_count_in_quarters() {
     let mut runner = fixtures::fixed_runner(512);
     let steps = proptest::collection::vec((0_usize..6, 0_usize..4), 1..60);
     let policy = policy(5, 0.25);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn retry_comes_due_once_and_never_at_or_after_the_deadline() {
+fn retry_is_due_once_and_never_at_or_after_the_deadline() {
     let mut runner = fixtures::fixed_runner(256);
     let plans = proptest::collection::vec((0_u64..500, 0_u64..3_000, 0_u32..8), 1..40);
     let policy = policy(10_000, 0.0);
@@ -64,19 +64,19 @@
     let result = runner.run(&plans, |plans| {
         let mut retries = retry::Retries::new(&policy);
         let mut now_ms = 0;
-        let mut planned = 0;
+        let mut scheduled = 0;
         let mut due = 0;
         let mut latest_ms = 0;
-        for (pause, left, index) in plans {
-            now_ms += pause;
+        for (elapsed_ms, left_ms, index) in plans {
+            now_ms += elapsed_ms;
             due += retries.due(now_ms).len();
-            if retries.schedule(now_ms, now_ms + left, item(index), u64::from(index)) {
-                planned += 1;
-                latest_ms = latest_ms.max(now_ms + left - 1);
+            if retries.schedule(now_ms, now_ms + left_ms, item(index), u64::from(index)) {
+                scheduled += 1;
+                latest_ms = latest_ms.max(now_ms + left_ms - 1);
             }
         }
         due += retries.due(latest_ms).len();
-        prop_assert_eq!(due, planned);
+        prop_assert_eq!(due, scheduled);
         prop_assert!(retries.due(u64::MAX).is_empty());
         Ok(())
     });
@@ -85,10 +85,10 @@
 }
 
 #[rstest]
-#[case::first(0, 20, 40)]
-#[case::second(1, 40, 80)]
-#[case::greatest(7, 1_000, 2_000)]
-fn pauses_double_and_are_spread(#[case] retry: usize, #[case] least: u64, #[case] most: u64) {
+#[case::first_retry(0, 20, 40)]
+#[case::second_retry(1, 40, 80)]
+#[case::last_retry(7, 1_000, 2_000)]
+fn delays_double_and_have_jitter(#[case] retry: usize, #[case] least: u64, #[case] most: u64) {
     let delays: Vec<u64> = (0..50)
         .filter_map(|seed| retry::delay_ms(retry, seed))
         .collect();
@@ -100,12 +100,12 @@
     );
     assert!(
         delays.iter().any(|delay| *delay != delays[0]),
-        "all the same"
+        "all delays are equal"
     );
     assert_eq!(retry::delay_ms(retry, 3), Some(delays[3]));
 }
 
 #[test]
-fn retries_of_one_task_are_bounded() {
+fn task_is_not_retried_beyond_the_maximum() {
     assert_eq!(retry::delay_ms(retry::MAX_RETRIES, 1), None);
 }
