--- a/tests/unit/claims.rs
+++ b/tests/unit/claims.rs
@@ -20,7 +20,7 @@
     /// An entry appends its record, which takes effect now, later or never.
     Append(usize, Effect),
     /// A delayed record takes effect.
-    Late,
+    Deliver,
     /// An entry reads this number of records, the first of them for the second time.
     Read(usize, usize),
     /// Time passes and claims expire.
@@ -43,7 +43,7 @@
     prop_oneof![
         6 => (entry.clone(), 0_usize..4).prop_map(|(entry, id)| Step::Claim(entry, id)),
         6 => (entry.clone(), effect).prop_map(|(entry, effect)| Step::Append(entry, effect)),
-        2 => proptest::strategy::Just(Step::Late),
+        2 => proptest::strategy::Just(Step::Deliver),
         8 => (entry.clone(), 0_usize..4).prop_map(|(entry, count)| Step::Read(entry, count)),
         3 => (0_u64..1_500).prop_map(Step::Wait),
         1 => entry.prop_map(Step::Restart),
@@ -106,7 +106,7 @@
                     self.tables[entry].append_ended();
                 }
             }
-            Step::Late => self.log.extend(self.delayed.pop()),
+            Step::Deliver => self.log.extend(self.delayed.pop()),
             Step::Read(entry, count) => self.read(entry, count),
             Step::Wait(ms) => {
                 self.now_ms += ms;
@@ -140,13 +140,13 @@
     }
 
     /// Returns the maker of the first claim on an id in the whole log.
-    fn owner(&self, name: &claims::ScopedId) -> Option<&claims::Claimer> {
-        let first = self.log.iter().find(|record| record.claims.contains(name));
+    fn owner(&self, claimed: &claims::ScopedId) -> Option<&claims::Claimer> {
+        let first = self.log.iter().find(|record| record.claims.contains(claimed));
         first.map(|record| &record.claimer)
     }
 
     fn check(&self) -> Result<(), test_runner::TestCaseError> {
-        for id in (0..4).map(name) {
+        for id in (0..4).map(scoped_id) {
             for (table, me) in self.tables.iter().zip(&self.claimers) {
                 match table.state(&id) {
                     claims::ClaimState::Mine { .. } => {
@@ -191,7 +191,7 @@
             world.read(entry, usize::MAX);
         }
         world.check()?;
-        for id in (0..4).map(name) {
+        for id in (0..4).map(scoped_id) {
             let is_claimed = world.owner(&id).is_some();
             let knows_owner = |table: &claims::Table| {
                 let state = table.state(&id);
--- a/tests/unit/jobs.rs
+++ b/tests/unit/jobs.rs
@@ -28,7 +28,7 @@
 
 fn any_step() -> impl Strategy<Value = Step> {
     let at = 0_usize..5;
-    let fates = [
+    let outcomes = [
         api::Fate::Ran,
         api::Fate::Ran,
         api::Fate::Ran,
@@ -36,7 +36,7 @@
         api::Fate::NotRun,
         api::Fate::MayHaveRun,
     ];
-    let fate = proptest::sample::select(fates.to_vec());
+    let fate = proptest::sample::select(outcomes.to_vec());
     prop_oneof![
         2 => at.clone().prop_map(Step::Dispatched),
         1 => at.clone().prop_map(Step::Lost),
@@ -115,24 +115,24 @@
             _ => {}
         }
         let answer = table.settle(key, 2);
-        let fates: Option<Vec<_>> = model.iter().map(|one| one.fate).collect();
+        let outcomes: Option<Vec<_>> = model.iter().map(|one| one.fate).collect();
         prop_assert_eq!(
             answer.is_some(),
-            fates.is_some(),
+            outcomes.is_some(),
             "answered before all tasks were decided"
         );
-        let (Some(answer), Some(fates)) = (answer, fates) else {
+        let (Some(answer), Some(outcomes)) = (answer, outcomes) else {
             continue;
         };
-        return check(&answer, &fates);
+        return check(&answer, &outcomes);
     }
     Ok(())
 }
 
-fn check(answer: &api::Answer, fates: &[api::Fate]) -> Result<(), test_runner::TestCaseError> {
+fn check(answer: &api::Answer, outcomes: &[api::Fate]) -> Result<(), test_runner::TestCaseError> {
     let answered: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
-    let all = |wanted| fates.iter().all(|fate| *fate == wanted);
-    let any = |wanted| fates.contains(&wanted);
+    let all = |wanted| outcomes.iter().all(|fate| *fate == wanted);
+    let any = |wanted| outcomes.contains(&wanted);
     let expected = if all(api::Fate::Ran) {
         codes::Class::Complete
     } else if all(api::Fate::NotRun) {
@@ -142,7 +142,7 @@
     } else {
         codes::Class::Failed
     };
-    prop_assert_eq!(&answered, fates);
+    prop_assert_eq!(&answered, outcomes);
     prop_assert_eq!(answer.code.class(), expected);
     for (index, task) in answer.tasks.iter().enumerate() {
         let output = (expected == codes::Class::Complete).then(|| format!("output-{index}"));
