--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -275,7 +275,7 @@
         revision: Option<u64>,
     ) -> Vec<Action> {
         self.ramps
-            .change(now_ms, &self.settings, &settings, revision);
+            .settings_changed(now_ms, &self.settings, &settings, revision);
         let mut actions = self.catch_up(now_ms);
         self.queue.configure(&settings.teams);
         let teams = self.queue.teams();
