--- a/src/membership/announcements.rs
+++ b/src/membership/announcements.rs
@@ -1,9 +1,10 @@
 //! Entries announce themselves on the log's `members` stream.
 //!
-//! It is the way back for processes whose contacts were all replaced at once under
-//! new addresses: nobody whom they know is left to name the new ones. Clocks are not
-//! compared between machines, so a record has no time of its own; what is read is
-//! tried, and dropped when it stays silent, like any other address that was named.
+//! Processes whose known contacts were all replaced at once, under new addresses, find
+//! the new entries there: no process that they know can name them. Clocks are not
+//! compared between machines, so a record holds no timestamp. A process tries every
+//! address that it reads and removes those that do not answer, as it does with any
+//! address that a peer names.
 
 use std::collections;
 
@@ -16,22 +17,23 @@
 /// The log stream.
 pub const STREAM: &str = "members";
 
-/// Time between two announcements of an entry, in milliseconds.
+/// Interval between two announcements of an entry, in milliseconds.
 ///
-/// With a dozen entries this is one small append every few seconds, where the log
-/// takes several hundred a second.
+/// With a dozen entries this makes one small append every few seconds; the log accepts
+/// several hundred a second.
 pub const INTERVAL_MS: u64 = 30_000;
 
-/// Latest records that are read; a few minutes' worth of a dozen entries.
+/// Number of latest records read: a few minutes of announcements by a dozen entries.
 pub const MAX_READ: u64 = 256;
 
-/// Most entries taken from one read: any live one names the others.
-pub const MAX_TAKEN: usize = 16;
+/// Maximum number of entries taken from one read. One live entry names all others.
+pub const MAX_ENTRIES: usize = 16;
 
-/// First and longest pause between two reads of a process without a live contact, in
-/// milliseconds. All runners may read at once when the entries are replaced.
+/// Shortest pause between two reads by a process without a live contact, in milliseconds.
+///
+/// The pauses grow because all runners may read at once when the entries are replaced.
 pub const MIN_PAUSE_MS: u64 = 1_000;
-/// See [`MIN_PAUSE_MS`].
+/// Longest pause between two reads, see [`MIN_PAUSE_MS`].
 pub const MAX_PAUSE_MS: u64 = 30_000;
 
 /// One record of the stream.
@@ -44,16 +46,18 @@
     pub peer: wire::Peer,
 }
 
-/// The entries to try: the latest life of each name, those announced last first.
+/// Returns the entries to contact: the latest incarnation of each name, starting with the
+/// one announced last.
 ///
-/// An earlier life of a name is over, however late its announcement came.
+/// An earlier incarnation has ended, even if its announcement arrived later. Records of
+/// another protocol version, of other roles and of the process itself (`own`) are skipped.
 pub fn latest_entries(announcements: &[Announcement], own: &SmolStr) -> Vec<wire::Peer> {
     let mut latest: collections::BTreeMap<&SmolStr, (usize, &wire::Peer)> =
         collections::BTreeMap::new();
     for (at, announcement) in announcements.iter().enumerate() {
         let peer = &announcement.peer;
-        let is_spoken = announcement.version == wire::VERSION && peer.role == wire::Role::Entry;
-        if !is_spoken || peer.name == *own {
+        let is_supported = announcement.version == wire::VERSION && peer.role == wire::Role::Entry;
+        if !is_supported || peer.name == *own {
             continue;
         }
         let known = latest.get(&peer.name);
@@ -61,13 +65,13 @@
             latest.insert(&peer.name, (at, peer));
         }
     }
-    let mut chosen: Vec<_> = latest.into_values().collect();
-    chosen.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
-    chosen.truncate(MAX_TAKEN);
-    chosen.into_iter().map(|(_, peer)| peer.clone()).collect()
+    let mut entries: Vec<_> = latest.into_values().collect();
+    entries.sort_by_key(|(at, _)| std::cmp::Reverse(*at));
+    entries.truncate(MAX_ENTRIES);
+    entries.into_iter().map(|(_, peer)| peer.clone()).collect()
 }
 
-/// When a process without a live contact reads the stream.
+/// Schedule by which a process without a live contact reads the stream.
 #[derive(Clone, Copy, Debug)]
 pub struct Search {
     due_ms: u64,
@@ -76,8 +80,9 @@
 }
 
 impl Search {
-    /// The first read is due after the first heartbeats had time to be answered;
-    /// `seed` spreads processes that search at the same time.
+    /// Schedules the first read for when the first heartbeats should have been answered.
+    ///
+    /// `seed` spreads the reads of processes that search at the same time.
     pub const fn new(now_ms: u64, seed: u64) -> Self {
         Self {
             due_ms: now_ms + MIN_PAUSE_MS,
@@ -86,11 +91,12 @@
         }
     }
 
-    /// Whether to read now. `is_alone`: no contact has answered of late.
+    /// Returns whether to read now, and if so schedules the next read.
     ///
-    /// The pauses grow while the search goes on, and a contact found ends it.
-    pub fn is_due(&mut self, now_ms: u64, is_alone: bool) -> bool {
-        if !is_alone {
+    /// `is_isolated` states that no contact has answered recently. The pauses double while
+    /// this lasts, and start again from the shortest once a contact has answered.
+    pub fn is_due(&mut self, now_ms: u64, is_isolated: bool) -> bool {
+        if !is_isolated {
             self.pause_ms = MIN_PAUSE_MS;
             self.due_ms = self.due_ms.max(now_ms + self.seed % MIN_PAUSE_MS);
             return false;
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -1,8 +1,8 @@
-//! Whom a process sends its heartbeats to.
+//! Addresses to which a process sends its heartbeats.
 //!
-//! It begins with the addresses in its settings; the answers name further entries.
-//! An address that was only named is dropped when it has been silent for long, one
-//! from the settings never is.
+//! The list starts with the addresses from the settings, and the replies name further
+//! entries. An address that was only named is removed once it has been silent for long;
+//! an address from the settings is never removed.
 
 use std::collections;
 
@@ -12,16 +12,16 @@
 use crate::membership::entry_list;
 use crate::wire;
 
-/// One address to send to.
+/// Destination of a heartbeat.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// `IP:PORT`.
     pub address: SmolStr,
-    /// The life that last answered there.
+    /// Incarnation that last answered there.
     pub incarnation: Option<ids::Incarnation>,
-    /// Whether to use a new connection, because the last call brought no answer.
+    /// Whether to open a new connection, because the last call was not answered.
     pub needs_new_connection: bool,
-    /// The list of entries that it told last, see [`entry_list`].
+    /// Digest of the entry list last received from there, see [`entry_list`].
     pub entries_held: Option<u64>,
 }
 
@@ -29,12 +29,12 @@
 struct Contact {
     is_seed: bool,
     peer: Option<wire::Peer>,
-    heard_ms: u64,
+    last_seen_ms: u64,
     is_failing: bool,
-    told: Option<entry_list::CachedList>,
+    cached: Option<entry_list::CachedList>,
 }
 
-/// The addresses known.
+/// Known addresses of entries.
 #[derive(Debug, Default)]
 pub struct Contacts {
     own: SmolStr,
@@ -42,7 +42,7 @@
 }
 
 impl Contacts {
-    /// Begins with the addresses in the settings; the own is never a target.
+    /// Creates the list from the addresses in the settings, without the process's own.
     pub fn new(own: SmolStr, seeds: &[SmolStr]) -> Self {
         let contact = Contact {
             is_seed: true,
@@ -53,42 +53,44 @@
         Self { own, by_address }
     }
 
-    /// All addresses to send to.
+    /// Returns all addresses to send heartbeats to.
     pub fn targets(&self) -> Vec<Target> {
         let target = |(address, contact): (&SmolStr, &Contact)| Target {
             address: address.clone(),
             incarnation: contact.peer.as_ref().map(|peer| peer.incarnation),
             needs_new_connection: contact.is_failing,
-            entries_held: contact.told.as_ref().map(entry_list::CachedList::digest),
+            entries_held: contact.cached.as_ref().map(entry_list::CachedList::digest),
         };
         self.by_address.iter().map(target).collect()
     }
 
-    /// Whether no address has answered since `since_ms`.
+    /// Returns whether no address has answered since `since_ms`.
     pub fn is_isolated(&self, since_ms: u64) -> bool {
         self.live(since_ms).next().is_none()
     }
 
-    /// Peers that answered since `since_ms`.
+    /// Returns the peers that have answered since `since_ms`.
     pub fn live(&self, since_ms: u64) -> impl Iterator<Item = &wire::Peer> {
         let live = self
             .by_address
             .values()
-            .filter(move |one| one.heard_ms >= since_ms);
+            .filter(move |known| known.last_seen_ms >= since_ms);
         live.filter_map(|contact| contact.peer.as_ref())
     }
 
-    /// Puts the entries into an answer that left them out.
+    /// Fills the entries into a reply that left them out, see [`entry_list`].
     pub fn restore_entries(&mut self, address: &SmolStr, reply: &mut wire::HeartbeatReply) {
         if let Some(contact) = self.by_address.get_mut(address) {
-            entry_list::CachedList::restore(&mut contact.told, reply);
+            entry_list::CachedList::restore(&mut contact.cached, reply);
         }
     }
 
-    /// An address answered; see [`Contacts::restore_entries`] before.
+    /// Records that an address answered, and adds the entries that the reply names.
+    ///
+    /// Call [`Contacts::restore_entries`] on the reply first.
     pub fn record_reply(&mut self, now_ms: u64, address: &SmolStr, reply: &wire::HeartbeatReply) {
         if let Some(contact) = self.by_address.get_mut(address) {
-            contact.heard_ms = now_ms;
+            contact.last_seen_ms = now_ms;
             contact.is_failing = false;
             contact.peer = Some(reply.sender.clone());
         }
@@ -97,29 +99,31 @@
         }
     }
 
-    /// An entry was named, or called here itself.
+    /// Adds an entry that a peer named, or that sent a heartbeat itself.
+    ///
+    /// An address that is already known stays unchanged.
     pub fn add_peer(&mut self, now_ms: u64, peer: &wire::Peer) {
         if peer.address == self.own {
             return;
         }
-        let fresh = Contact {
-            heard_ms: now_ms,
+        let added = Contact {
+            last_seen_ms: now_ms,
             ..Contact::default()
         };
-        self.by_address.entry(peer.address.clone()).or_insert(fresh);
+        self.by_address.entry(peer.address.clone()).or_insert(added);
     }
 
-    /// An address did not answer.
+    /// Records that an address did not answer.
     pub fn record_failure(&mut self, address: &SmolStr) {
         if let Some(contact) = self.by_address.get_mut(address) {
             contact.is_failing = true;
         }
     }
 
-    /// Drops what was only named and has been silent for so long.
+    /// Removes addresses that are not from the settings and have been silent for `after_ms`.
     pub fn remove_silent(&mut self, now_ms: u64, after_ms: u64) {
         self.by_address.retain(|_, contact| {
-            contact.is_seed || contact.heard_ms.saturating_add(after_ms) > now_ms
+            contact.is_seed || contact.last_seen_ms.saturating_add(after_ms) > now_ms
         });
     }
 }
--- a/src/membership/entry_list.rs
+++ b/src/membership/entry_list.rs
@@ -1,9 +1,10 @@
-//! Leaving out of an answer to a heartbeat the entries that the asker was told before.
+//! Entry lists in heartbeat replies, left out where the requester already holds them.
 //!
-//! Without it each answer names all entries again, twice a second, though they change a
-//! few times a day. The asker says which list it holds, by a digest that only the answering
-//! process makes and compares, and fills the list in again from what it was told: whoever
-//! reads the answer sees the same as if nothing had been left out.
+//! Entries change a few times a day, and without this every reply would name all of them
+//! again, twice a second. The requester sends a digest of the list that it holds. Only the
+//! replying process computes and compares digests. If they match, the reply omits the list
+//! and the requester fills it in from its cache, so that code that reads the reply sees
+//! the full list in both cases.
 
 use std::hash;
 use std::hash::Hash as _;
@@ -12,17 +13,17 @@
 use crate::ids;
 use crate::wire;
 
-/// The entries as an answer names them.
+/// The entries as a heartbeat reply carries them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EntryList {
-    /// The entries; none where the asker holds them.
+    /// The entries; empty if the requester holds them.
     pub entries: Vec<wire::Peer>,
-    /// What to ask with next time; none where the asker has it.
+    /// Digest for the requester to send next time; absent if it holds this one.
     pub digest: Option<u64>,
 }
 
 impl EntryList {
-    /// What that life of a process names to an asker that holds the list with that digest.
+    /// Builds the list that incarnation `by` returns to a requester that sent the digest `held`.
     pub fn new(by: ids::Incarnation, entries: Vec<wire::Peer>, held: Option<u64>) -> Self {
         let digest = digest(by, &entries);
         if held == Some(digest) {
@@ -35,19 +36,20 @@
     }
 }
 
-/// The same for the same processes in any order; a process never changes its address
-/// within its life. No two lives have the same: an asker fills in only what the very life
-/// that answers had told.
+/// Computes the digest of a list, independent of the order of its entries.
+///
+/// A process keeps its address for its whole incarnation. The digest includes the replying
+/// incarnation, so that a requester never fills in a list from another one.
 fn digest(by: ids::Incarnation, entries: &[wire::Peer]) -> u64 {
-    let one = |peer: &wire::Peer| {
+    let hash_peer = |peer: &wire::Peer| {
         let mut hasher = hash::DefaultHasher::new();
         (&peer.name, peer.incarnation, &peer.address).hash(&mut hasher);
         hasher.finish()
     };
-    entries.iter().map(one).fold(by.0, u64::wrapping_add)
+    entries.iter().map(hash_peer).fold(by.0, u64::wrapping_add)
 }
 
-/// A list that one life of a process told.
+/// The last entry list received from one incarnation of a process.
 #[derive(Clone, Debug)]
 pub struct CachedList {
     by: ids::Incarnation,
@@ -56,30 +58,31 @@
 }
 
 impl CachedList {
-    /// What to ask with.
+    /// Digest to send with the next heartbeat.
     pub const fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes the list out of an answer, or puts it in where it was left out.
+    /// Caches the list of a reply, or fills it in where the reply left it out.
     ///
-    /// A process that was replaced by one of an earlier release leaves nothing out, also
-    /// where it knows of no entry; so the list of another life is never put in.
-    pub fn restore(told: &mut Option<Self>, reply: &mut wire::HeartbeatReply) {
+    /// A process of a release without digests never leaves the list out, and its list may
+    /// be empty. So the list of another incarnation is never filled in: the process may
+    /// have been replaced by one of such a release.
+    pub fn restore(cached: &mut Option<Self>, reply: &mut wire::HeartbeatReply) {
         let by = reply.sender.incarnation;
         if let Some(digest) = reply.entries_digest {
-            *told = Some(Self {
+            *cached = Some(Self {
                 by,
                 digest,
                 entries: reply.entries.clone(),
             });
             return;
         }
-        let same = told.as_ref().filter(|told| told.by == by);
-        if let Some(same) = same
+        let same_sender = cached.as_ref().filter(|cached| cached.by == by);
+        if let Some(same_sender) = same_sender
             && reply.entries.is_empty()
         {
-            reply.entries.clone_from(&same.entries);
+            reply.entries.clone_from(&same_sender.entries);
         }
     }
 }
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Which processes there are, as one entry hears it from themselves.
+//! Processes known to an entry, as they report themselves in heartbeats.
 
 pub mod announcements;
 pub mod contacts;
@@ -12,78 +12,79 @@
 use crate::wire;
 
 slotmap::new_key_type! {
-    /// Key of one life of a runner; never valid for another life.
+    /// Key of one incarnation of a runner; never valid for another incarnation.
     pub struct RunnerKey;
 }
 
-/// A rack as a small number, the same for all runners in it.
+/// Number that stands for a rack's name; equal for all runners in the rack.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Rack(pub u32);
 
-/// One life of a runner, as an entry knows it.
+/// One incarnation of a runner, as an entry knows it.
 #[derive(Clone, Debug)]
 pub struct Runner {
-    /// Who it is.
+    /// Its name, incarnation, place and address.
     pub peer: wire::Peer,
     /// Its rack.
     pub rack: Rack,
-    /// Its load as last heard.
+    /// Last reported load.
     pub load: wire::Load,
-    /// When it was last heard, monotonic milliseconds.
+    /// Time of the last message from it, monotonic milliseconds.
     pub last_seen_ms: u64,
-    /// Whether it said that it is stopping.
+    /// Whether it reported that it is stopping.
     pub is_leaving: bool,
-    /// Until when it is sent nothing: it refused for a reason that lasts, or could
-    /// not be connected to.
+    /// Time until which no tasks are sent to it, monotonic milliseconds: it refused for a
+    /// reason that persists, or no connection could be made.
     pub backoff_until_ms: u64,
-    /// Revision of the settings in force there, as last heard.
+    /// Last reported revision of its settings.
     pub revision: Option<u64>,
-    /// Tasks of this entry handed to it and not settled.
+    /// Number of this entry's tasks that were sent to it and have no outcome yet.
     pub in_flight: u32,
-    /// What those are expected to take.
+    /// Expected resource use of those tasks.
     pub in_flight_used: wire::Resources,
 }
 
-/// One life of an entry, as another entry knows it.
+/// One incarnation of an entry, as another entry knows it.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// Who it is.
+    /// Its name, incarnation, place and address.
     pub peer: wire::Peer,
-    /// When it was last heard, monotonic milliseconds.
+    /// Time of the last message from it, or of its first mention by another entry,
+    /// monotonic milliseconds.
     pub last_seen_ms: u64,
-    /// Whether it said that it is stopping.
+    /// Whether it reported that it is stopping.
     pub is_leaving: bool,
-    /// Revision of the settings in force there, as last heard.
+    /// Last reported revision of its settings.
     pub revision: Option<u64>,
-    /// Slots in service that it sees.
+    /// Number of slots in service that it knows of.
     pub slots: u32,
 }
 
-/// What an entry said of itself.
+/// State that an entry reports about itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct EntryStatus {
     /// Whether it is stopping.
     pub is_leaving: bool,
-    /// Revision of the settings in force there.
+    /// Revision of its settings.
     pub revision: Option<u64>,
-    /// Slots in service that it sees.
+    /// Number of slots in service that it knows of.
     pub slots: u32,
 }
 
-/// What a heartbeat changed.
+/// Effect of a runner's heartbeat on the member list.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Update {
-    /// Nothing worth telling.
+    /// The incarnation was known already.
     Unchanged,
-    /// A process not known before.
+    /// The runner was not known before.
     New,
-    /// Another life of a known runner; the life under the key is over.
+    /// A later incarnation of a known runner; the one under the key has ended.
     Replaced(RunnerKey),
-    /// An older life than the one known; passed over.
+    /// An earlier incarnation than the known one, or a heartbeat without a load; ignored.
     Stale,
 }
 
-/// The processes known.
+/// Known runners and entries.
 #[derive(Debug, Default)]
 pub struct Members {
     runners: slotmap::SlotMap<RunnerKey, Runner>,
@@ -93,7 +94,7 @@
 }
 
 impl Members {
-    /// A runner said that it is there.
+    /// Records a runner's heartbeat.
     pub fn record_runner(&mut self, now_ms: u64, heartbeat: &wire::Heartbeat) -> Update {
         let Some(load) = heartbeat.load else {
             return Update::Stale;
@@ -140,19 +141,19 @@
         *self.racks.entry(name.clone()).or_insert(next)
     }
 
-    /// Sends nothing to the runners of a zone until then.
+    /// Sends no tasks to the runners of a zone until `until_ms`.
     ///
-    /// The first refusal from a zone that was taken out tells for all its runners;
-    /// without this each of them would refuse once.
+    /// The first refusal from a zone that was taken out holds for all its runners;
+    /// without this each of them would have to refuse once.
     pub fn back_off_zone(&mut self, zone: &str, until_ms: u64) {
-        let of_zone = self.runners.values_mut();
-        for runner in of_zone.filter(|runner| runner.peer.zone == zone) {
+        let all = self.runners.values_mut();
+        for runner in all.filter(|runner| runner.peer.zone == zone) {
             runner.backoff_until_ms = runner.backoff_until_ms.max(until_ms);
         }
     }
 
-    /// An entry said that it is there, or another named it.
-    pub fn record_entry(&mut self, now_ms: u64, peer: &wire::Peer, news: EntryStatus) {
+    /// Records an entry's heartbeat or reply; ignores one of an earlier incarnation.
+    pub fn record_entry(&mut self, now_ms: u64, peer: &wire::Peer, status: EntryStatus) {
         let known = self.entries.get(&peer.name);
         if known.is_some_and(|known| known.peer.incarnation > peer.incarnation) {
             return;
@@ -160,14 +161,14 @@
         let entry = Entry {
             peer: peer.clone(),
             last_seen_ms: now_ms,
-            is_leaving: news.is_leaving,
-            revision: news.revision,
-            slots: news.slots,
+            is_leaving: status.is_leaving,
+            revision: status.revision,
+            slots: status.slots,
         };
         self.entries.insert(peer.name.clone(), entry);
     }
 
-    /// Another entry named one that this one may not have heard itself.
+    /// Records an entry that another one named, unless this incarnation is known already.
     pub fn record_named_entry(&mut self, now_ms: u64, peer: &wire::Peer) {
         let known = self.entries.get(&peer.name);
         if known.is_none_or(|known| known.peer.incarnation < peer.incarnation) {
@@ -175,21 +176,21 @@
         }
     }
 
-    /// Looks at a runner.
+    /// Returns a runner.
     pub fn runner(&self, key: RunnerKey) -> Option<&Runner> {
         self.runners.get(key)
     }
 
-    /// Changes a runner.
+    /// Returns a runner for modification.
     pub fn runner_mut(&mut self, key: RunnerKey) -> Option<&mut Runner> {
         self.runners.get_mut(key)
     }
 
-    /// Forgets a life whose successor was heard; its name stays the successor's.
+    /// Removes an incarnation that a later one has replaced.
     ///
-    /// A runner that is replaced within two heartbeats was heard lately in both lives.
-    /// If the past one were kept until it is silent, it would be sent work, all of which
-    /// is refused or lost, and its slots would count twice.
+    /// If a runner is replaced within two heartbeats, both incarnations were seen recently.
+    /// Keeping the earlier one until it counts as silent would send it tasks, all of which
+    /// are refused or lost, and would count its slots twice.
     pub fn remove_replaced(&mut self, key: RunnerKey) {
         let is_current = |runner: &Runner| self.by_name.get(&runner.peer.name) == Some(&key);
         if self
@@ -201,31 +202,31 @@
         }
     }
 
-    /// All runners.
+    /// Iterates over all runners.
     pub fn runners(&self) -> impl Iterator<Item = (RunnerKey, &Runner)> {
         self.runners.iter()
     }
 
-    /// All entries.
+    /// Iterates over all entries.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// The life of an entry, where it is the one last heard under its name.
+    /// Returns an entry if the given incarnation is the latest known one.
     pub fn entry(&self, name: &str, incarnation: ids::Incarnation) -> Option<&Entry> {
         self.entries
             .get(name)
             .filter(|entry| entry.peer.incarnation == incarnation)
     }
 
-    /// Whether a later life of that name was heard, so that the earlier one is over.
+    /// Returns whether a later incarnation of an entry is known, so that the given one has ended.
     pub fn is_entry_replaced(&self, name: &str, incarnation: ids::Incarnation) -> bool {
         self.entries
             .get(name)
             .is_some_and(|entry| entry.peer.incarnation > incarnation)
     }
 
-    /// Forgets runners that were silent for so long and have nothing in flight.
+    /// Removes processes that have been silent for `after_ms`, except runners with tasks in flight.
     pub fn remove_silent(&mut self, now_ms: u64, after_ms: u64) {
         let by_name = &mut self.by_name;
         self.runners.retain(|key, runner| {
@@ -240,7 +241,9 @@
             .retain(|_, entry| entry.last_seen_ms.saturating_add(after_ms) > now_ms);
     }
 
-    /// This process was paused for so long: the silence was its own.
+    /// Moves all last-seen times forward by the time for which this process was suspended.
+    ///
+    /// The others were not silent in that time; this process could not receive.
     pub fn shift_last_seen(&mut self, paused_ms: u64) {
         for runner in self.runners.values_mut() {
             runner.last_seen_ms += paused_ms;
@@ -252,10 +255,10 @@
 }
 
 impl Runner {
-    /// Takes a load over if it is later than the one known.
+    /// Replaces the load if the new one has a later sequence number.
     ///
-    /// Loads ride on answers that may cross; an earlier one would bring back
-    /// slots that are taken.
+    /// Loads arrive with replies, which may overtake each other; an earlier load would show
+    /// slots as free that are in use.
     pub const fn update_load(&mut self, load: wire::Load) {
         if load.sequence <= self.load.sequence {
             return;
@@ -263,29 +266,29 @@
         self.load = load;
     }
 
-    /// Slots thought to be free; below zero: tasks wait there.
+    /// Estimates the number of free slots; negative if tasks wait at the runner.
     ///
-    /// Its own share of the load is replaced by what this entry knows to be in
-    /// flight, so that neither a dispatch nor an answer on its way is miscounted.
+    /// This entry's share of the reported load is replaced by its own count of tasks in
+    /// flight, so that dispatches and replies under way are counted correctly.
     pub fn free_slots(&self) -> i64 {
         let load = &self.load;
         let others = i64::from(load.busy) + i64::from(load.parked) - i64::from(load.mine);
         i64::from(load.slots) - others.max(0) - i64::from(self.in_flight)
     }
 
-    /// What is thought to be free of its worker.
+    /// Estimates the free resources of the runner's worker.
     pub fn free_resources(&self) -> wire::Resources {
         let others = self.load.used.minus(&self.load.mine_used);
         self.load.size.minus(&others.plus(&self.in_flight_used))
     }
 
-    /// A task was handed to it.
+    /// Counts a task that was sent to the runner.
     pub const fn add_in_flight(&mut self, need: &wire::Resources) {
         self.in_flight += 1;
         self.in_flight_used = self.in_flight_used.plus(need);
     }
 
-    /// A task handed to it is settled.
+    /// Stops counting a task that was sent to the runner and now has an outcome.
     pub const fn remove_in_flight(&mut self, need: &wire::Resources) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.in_flight_used = self.in_flight_used.minus(need);
--- a/tests/unit/entry_list.rs
+++ b/tests/unit/entry_list.rs
@@ -1,4 +1,4 @@
-//! Lists of entries left out of answers, against answers that give them always.
+//! Replies that leave out the entry list, compared with replies that always contain it.
 
 use bulrushtiller::ids;
 use bulrushtiller::membership::contacts;
@@ -26,10 +26,10 @@
     }
 }
 
-fn reply(life: u64, entries: Vec<wire::Peer>, digest: Option<u64>) -> wire::HeartbeatReply {
+fn reply(incarnation: u64, entries: Vec<wire::Peer>, digest: Option<u64>) -> wire::HeartbeatReply {
     wire::HeartbeatReply {
         version: wire::VERSION,
-        sender: peer(0, life),
+        sender: peer(0, incarnation),
         leaving: false,
         revision: None,
         evidence: wire::Evidence::default(),
@@ -41,52 +41,59 @@
     }
 }
 
-/// The process that answers: its life, the entries it knows, its release.
+/// The replying process. One of the previous release sends no digests.
 #[derive(Clone, Debug)]
-struct Other {
-    life: u64,
+struct Responder {
+    incarnation: u64,
     entries: Vec<wire::Peer>,
-    is_earlier: bool,
+    is_previous_release: bool,
 }
 
-impl Other {
+impl Responder {
     fn answer(&self, held: Option<u64>) -> wire::HeartbeatReply {
-        if self.is_earlier {
-            return reply(self.life, self.entries.clone(), None);
+        if self.is_previous_release {
+            return reply(self.incarnation, self.entries.clone(), None);
         }
-        let named =
-            entry_list::EntryList::new(ids::Incarnation(self.life), self.entries.clone(), held);
-        reply(self.life, named.entries, named.digest)
+        let list = entry_list::EntryList::new(
+            ids::Incarnation(self.incarnation),
+            self.entries.clone(),
+            held,
+        );
+        reply(self.incarnation, list.entries, list.digest)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
-    /// The list changes: so many entries, of that life, in that order.
+    /// The list changes to these entries, all of this incarnation, in this order.
     Change(Vec<u64>, u64),
-    /// Another process at the address, perhaps of the earlier release.
+    /// Another process takes over the address, of the previous release if true.
     Replace(bool),
-    /// A heartbeat is asked now and answered now.
-    Ask,
-    /// One that was asked at the beginning of the step before is answered now.
+    /// A heartbeat is sent and answered at once.
+    Send,
+    /// A reply arrives to a heartbeat with the digest that was held at the previous one.
     Late,
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
     let places = collection::vec(1_u64..5, 0..4);
     prop_oneof![
-        2 => (places, 1_u64..3).prop_map(|(places, life)| Step::Change(places, life)),
+        2 => (places, 1_u64..3)
+            .prop_map(|(places, incarnation)| Step::Change(places, incarnation)),
         1 => proptest::bool::ANY.prop_map(Step::Replace),
-        6 => proptest::strategy::Just(Step::Ask),
+        6 => proptest::strategy::Just(Step::Send),
         1 => proptest::strategy::Just(Step::Late),
     ]
 }
 
 fn held(contacts: &contacts::Contacts) -> Option<u64> {
-    contacts.targets().first().and_then(|one| one.entries_held)
+    contacts
+        .targets()
+        .first()
+        .and_then(|target| target.entries_held)
 }
 
-/// Their order says nothing.
+/// Names and incarnations in a fixed order, since the order of the list has no meaning.
 fn sorted(entries: &[wire::Peer]) -> Vec<(SmolStr, ids::Incarnation)> {
     let entries = entries.iter();
     let mut names: Vec<_> = entries
@@ -98,42 +105,46 @@
 
 fn run(steps: Vec<Step>) -> Result<(), test_runner::TestCaseError> {
     let mut contacts = contacts::Contacts::new(SmolStr::new_static("own"), &[ADDRESS]);
-    let mut other = Other {
-        life: 1,
+    let mut responder = Responder {
+        incarnation: 1,
         entries: vec![peer(1, 1)],
-        is_earlier: false,
+        is_previous_release: false,
     };
-    let mut before = None;
+    let mut previous_digest = None;
     for step in steps {
-        let now = held(&contacts);
-        let asked_with = match step {
-            Step::Change(places, life) => {
-                other.entries = places.into_iter().map(|place| peer(place, life)).collect();
+        let held_digest = held(&contacts);
+        let sent_digest = match step {
+            Step::Change(places, incarnation) => {
+                responder.entries = places
+                    .into_iter()
+                    .map(|place| peer(place, incarnation))
+                    .collect();
                 continue;
             }
-            Step::Replace(is_earlier) => {
-                other.life += 1;
-                other.is_earlier = is_earlier;
+            Step::Replace(is_previous_release) => {
+                responder.incarnation += 1;
+                responder.is_previous_release = is_previous_release;
                 continue;
             }
-            Step::Ask => now,
-            Step::Late => before,
+            Step::Send => held_digest,
+            Step::Late => previous_digest,
         };
-        before = now;
-        let mut answer = other.answer(asked_with);
+        previous_digest = held_digest;
+        let mut answer = responder.answer(sent_digest);
         contacts.restore_entries(&ADDRESS, &mut answer);
-        // A late answer may stand for the list asked with; the next one is right again.
-        if asked_with == now {
-            prop_assert_eq!(sorted(&answer.entries), sorted(&other.entries));
+        // A late reply may be filled in with the wrong list; the next reply corrects it.
+        if sent_digest == held_digest {
+            prop_assert_eq!(sorted(&answer.entries), sorted(&responder.entries));
         }
     }
     Ok(())
 }
 
-// Entries come, go and are replaced, also by ones of the earlier release, and heartbeats
-// cross. If a list were filled in wrongly, callers would be sent to entries that are gone.
+// Entries start, stop and are replaced, also by ones of the previous release, and replies
+// arrive late. If a wrong list were filled in, callers would be sent to entries that have
+// ended.
 #[test]
-fn restored_answers_equal_those_that_leave_nothing_out() {
+fn restored_replies_contain_the_full_list() {
     let mut runner = test_runner::TestRunner::new(fixed::cases(1_000));
     let steps = collection::vec(any_step(), 1..60);
 
@@ -143,19 +154,20 @@
 }
 
 #[test]
-fn list_that_is_held_is_left_out() {
+fn list_held_by_the_requester_is_left_out() {
     let entries = vec![peer(1, 1), peer(2, 1)];
     let reversed = vec![peer(2, 1), peer(1, 1)];
 
-    let life = ids::Incarnation(5);
+    let incarnation = ids::Incarnation(5);
 
-    let first = entry_list::EntryList::new(life, entries.clone(), None);
-    let again = entry_list::EntryList::new(life, reversed, first.digest);
-    let changed = entry_list::EntryList::new(life, vec![peer(1, 2), peer(2, 1)], first.digest);
+    let first = entry_list::EntryList::new(incarnation, entries.clone(), None);
+    let reordered = entry_list::EntryList::new(incarnation, reversed, first.digest);
+    let changed =
+        entry_list::EntryList::new(incarnation, vec![peer(1, 2), peer(2, 1)], first.digest);
     let successor = entry_list::EntryList::new(ids::Incarnation(6), entries.clone(), first.digest);
 
     assert_eq!(first.entries, entries);
-    assert_eq!(again, entry_list::EntryList::default());
+    assert_eq!(reordered, entry_list::EntryList::default());
     assert_eq!(changed.entries.len(), 2);
     assert_eq!(successor.entries, entries);
     assert_ne!(changed.digest, first.digest);
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -1,4 +1,4 @@
-//! Contacts, lives and announcements against naive versions.
+//! Contacts, incarnations and announcements, compared with simple reference models.
 
 use std::collections;
 
@@ -21,7 +21,7 @@
     smol_str::format_smolstr!("address-{number}")
 }
 
-/// A life of a process whose address is not that of its other lives.
+/// One incarnation of a process; each has an address of its own.
 fn peer(role: wire::Role, name: u64, incarnation: u64, place: u64) -> wire::Peer {
     wire::Peer {
         role,
@@ -53,7 +53,7 @@
     Named(u64),
     Answered(u64, u64),
     Failed(u64),
-    Drop,
+    RemoveSilent,
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -62,36 +62,36 @@
         place().prop_map(Op::Named),
         (place(), place()).prop_map(|(from, named)| Op::Answered(from, named)),
         place().prop_map(Op::Failed),
-        Just(Op::Drop),
+        Just(Op::RemoveSilent),
     ]
 }
 
-/// The addresses and when each was last heard; the seed's time is not looked at.
+/// Reference model: last-seen time by address. The seed's time has no effect.
 #[derive(Default)]
-struct NaiveContacts {
-    heard: collections::BTreeMap<SmolStr, u64>,
+struct ContactsModel {
+    last_seen: collections::BTreeMap<SmolStr, u64>,
 }
 
-impl NaiveContacts {
-    fn hear_of(&mut self, now_ms: u64, place: u64) {
+impl ContactsModel {
+    fn add_place(&mut self, now_ms: u64, place: u64) {
         if address(place) != OWN {
-            self.heard.entry(address(place)).or_insert(now_ms);
+            self.last_seen.entry(address(place)).or_insert(now_ms);
         }
     }
 
     fn apply(&mut self, now_ms: u64, op: Op) {
         match op {
-            Op::Named(place) => self.hear_of(now_ms, place),
+            Op::Named(place) => self.add_place(now_ms, place),
             Op::Answered(from, named) => {
-                if let Some(heard) = self.heard.get_mut(&address(from)) {
-                    *heard = now_ms;
+                if let Some(seen_ms) = self.last_seen.get_mut(&address(from)) {
+                    *seen_ms = now_ms;
                 }
-                self.hear_of(now_ms, named);
+                self.add_place(now_ms, named);
             }
             Op::Failed(_) => {}
-            Op::Drop => self
-                .heard
-                .retain(|place, heard| place == SEED || *heard + SILENT_MS > now_ms),
+            Op::RemoveSilent => self
+                .last_seen
+                .retain(|place, seen_ms| place == SEED || *seen_ms + SILENT_MS > now_ms),
         }
     }
 }
@@ -105,28 +105,28 @@
             contacts.record_reply(now_ms, &address(from), &reply);
         }
         Op::Failed(place) => contacts.record_failure(&address(place)),
-        Op::Drop => contacts.remove_silent(now_ms, SILENT_MS),
+        Op::RemoveSilent => contacts.remove_silent(now_ms, SILENT_MS),
     }
 }
 
 #[test]
-fn contacts_equal_the_naive_ones() {
+fn contacts_match_the_reference_model() {
     let mut runner = fixtures::fixed_runner(CASES);
     let ops = prop::collection::vec((0..60_u64, op()), 1..80);
 
     let outcome = runner.run(&ops, |ops| {
         let seeds = [SmolStr::new(OWN), SmolStr::new(SEED)];
         let mut contacts = contacts::Contacts::new(SmolStr::new(OWN), &seeds);
-        let mut naive = NaiveContacts::default();
-        naive.heard.insert(SmolStr::new(SEED), 0);
+        let mut model = ContactsModel::default();
+        model.last_seen.insert(SmolStr::new(SEED), 0);
         let mut now_ms = 0;
         for (gap_ms, op) in ops {
             now_ms += gap_ms;
             apply(&mut contacts, now_ms, op);
-            naive.apply(now_ms, op);
-            let targets = contacts.targets().into_iter().map(|one| one.address);
+            model.apply(now_ms, op);
+            let targets = contacts.targets().into_iter().map(|target| target.address);
             let targets: Vec<_> = targets.collect();
-            let expected: Vec<_> = naive.heard.keys().cloned().collect();
+            let expected: Vec<_> = model.last_seen.keys().cloned().collect();
             prop_assert_eq!(targets, expected);
         }
         Ok(())
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn process_is_alone_until_a_contact_answers() {
+fn process_is_isolated_until_a_contact_answers() {
     let seed = SmolStr::new(SEED);
     let mut contacts = contacts::Contacts::new(SmolStr::new(OWN), std::slice::from_ref(&seed));
     contacts.add_peer(10, &peer(wire::Role::Entry, 2, 1, 2));
@@ -145,7 +145,7 @@
     let sender = peer(wire::Role::Entry, 1, 1, 1);
     contacts.record_reply(20, &seed, &reply(sender, Vec::new()));
 
-    assert!(before, "to be named is not to have answered");
+    assert!(before, "a contact that was only named has not answered");
     assert!(!contacts.is_isolated(20));
     assert!(contacts.is_isolated(21));
 }
@@ -161,36 +161,36 @@
     }
 }
 
-// Heartbeats of a runner's lives come late and crossed. Were an earlier life taken for
-// the present one, tasks would go to a process that is gone.
+// Heartbeats of several incarnations of a runner arrive late and out of order. If an earlier
+// incarnation replaced the current one, tasks would be sent to a process that has ended.
 #[test]
-fn the_latest_life_counts_in_whatever_order_heartbeats_come() {
+fn latest_incarnation_is_kept_in_any_order_of_heartbeats() {
     let mut runner = fixtures::fixed_runner(CASES);
     let beats = prop::collection::vec((0..3_u64, 0..5_u64, 0..20_u64), 1..60);
 
     let outcome = runner.run(&beats, |beats| {
         let mut members = membership::Members::default();
-        let mut naive = collections::BTreeMap::new();
+        let mut latest = collections::BTreeMap::new();
         for (now_ms, (name, incarnation, sequence)) in (0..).zip(beats) {
             let sender = peer(wire::Role::Runner, name, incarnation, incarnation);
-            let known = naive.get(&sender.name).copied();
+            let known = latest.get(&sender.name).copied();
             let expected = match known {
                 None => "new",
                 Some(known) if known > incarnation => "stale",
                 Some(known) if known < incarnation => "replaced",
                 Some(_) => "same",
             };
-            naive.insert(
+            latest.insert(
                 sender.name.clone(),
                 known.max(Some(incarnation)).unwrap_or(0),
             );
-            let heard = match members.record_runner(now_ms, &heartbeat(sender, sequence)) {
+            let update = match members.record_runner(now_ms, &heartbeat(sender, sequence)) {
                 membership::Update::New => "new",
                 membership::Update::Stale => "stale",
                 membership::Update::Replaced(_) => "replaced",
                 membership::Update::Unchanged => "same",
             };
-            prop_assert_eq!(heard, expected);
+            prop_assert_eq!(update, expected);
         }
         Ok(())
     });
@@ -198,7 +198,7 @@
     outcome.expect("no counter-example");
 }
 
-fn naive_choice(announced: &[announcements::Announcement], own: &SmolStr) -> Vec<wire::Peer> {
+fn expected_entries(announced: &[announcements::Announcement], own: &SmolStr) -> Vec<wire::Peer> {
     let mut chosen: Vec<wire::Peer> = Vec::new();
     for announcement in announced.iter().rev() {
         let peer = &announcement.peer;
@@ -211,12 +211,12 @@
             chosen.push(peer.clone());
         }
     }
-    chosen.truncate(announcements::MAX_TAKEN);
+    chosen.truncate(announcements::MAX_ENTRIES);
     chosen
 }
 
 #[test]
-fn chosen_announcements_equal_the_naive_choice() {
+fn latest_entries_match_the_reference_selection() {
     let mut runner = fixtures::fixed_runner(CASES);
     let announced = prop::collection::vec((0..25_u64, 0..4_u64), 0..100);
     let own = SmolStr::new_static("name-0");
@@ -224,13 +224,18 @@
     let outcome = runner.run(&announced, |announced| {
         let announced: Vec<_> = announced
             .into_iter()
-            .map(|(name, life)| announcements::Announcement {
+            .map(|(name, incarnation)| announcements::Announcement {
                 version: wire::VERSION,
-                peer: peer(wire::Role::Entry, name, life, name * 10 + life),
+                peer: peer(
+                    wire::Role::Entry,
+                    name,
+                    incarnation,
+                    name * 10 + incarnation,
+                ),
             })
             .collect();
-        let chosen = announcements::latest_entries(&announced, &own);
-        prop_assert_eq!(chosen, naive_choice(&announced, &own));
+        let selected = announcements::latest_entries(&announced, &own);
+        prop_assert_eq!(selected, expected_entries(&announced, &own));
         Ok(())
     });
 
@@ -238,21 +243,21 @@
 }
 
 #[test]
-fn search_pauses_grow_to_a_limit_and_begin_anew() {
+fn search_pauses_double_up_to_a_limit_and_reset_when_a_contact_answers() {
     let mut search = announcements::Search::new(0, 0);
     let due: Vec<u64> = (0..200_000)
         .filter(|now_ms| search.is_due(*now_ms, true))
         .collect();
 
-    let found = search.is_due(200_000, false);
-    let again = search.is_due(200_000 + announcements::MAX_PAUSE_MS, true);
+    let due_with_contact = search.is_due(200_000, false);
+    let due_without = search.is_due(200_000 + announcements::MAX_PAUSE_MS, true);
 
     let pauses: Vec<u64> = due.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert_eq!(pauses[..5], [1_000, 2_000, 4_000, 8_000, 16_000]);
     assert!(
         pauses[5..]
             .iter()
-            .all(|one| *one == announcements::MAX_PAUSE_MS)
+            .all(|pause_ms| *pause_ms == announcements::MAX_PAUSE_MS)
     );
-    assert_eq!((found, again), (false, true));
+    assert_eq!((due_with_contact, due_without), (false, true));
 }
