--- a/src/health/evidence.rs
+++ b/src/health/evidence.rs
@@ -1,29 +1,29 @@
-//! What one runner's tasks came to lately.
+//! Recent results of one runner's tasks.
 
 use crate::health;
 use crate::health::kinds;
 use crate::health::slowness;
 
-/// Excess that makes a runner slow, as a natural logarithm: twice the time.
+/// Excess that counts as slow, as a natural logarithm: twice the run time of the kind.
 pub const SLOW_EXCESS: f64 = 0.693;
 
-/// Most kinds remembered of a runner.
+/// Maximum number of kinds remembered per runner.
 const MAX_KINDS: usize = 16;
 
-/// Most attempts of a streak; a greater `policy.eject_failures` counts as this.
+/// Maximum number of attempts in a streak; a greater `policy.eject_failures` is capped to it.
 const MAX_STREAK: usize = 64;
 
-/// Most kinds of a streak that are told apart; two are asked for.
+/// Number of different kinds that a streak must contain.
 const STREAK_KINDS: usize = 2;
 
 #[derive(Clone, Copy, Debug)]
-struct Last {
+struct LastEnd {
     kind: kinds::Kind,
     at_ms: u64,
-    was_well: bool,
+    is_success: bool,
 }
 
-/// Failures in a row.
+/// Consecutive failures.
 #[derive(Clone, Debug, Default)]
 struct Streak {
     attempts: Vec<u64>,
@@ -32,34 +32,36 @@
 }
 
 impl Streak {
-    /// Counts an attempt once, where its kind does well elsewhere; one that hangs is
-    /// found hanging again and again.
-    fn add(&mut self, end: &health::Observation, is_well_elsewhere: bool) {
-        if !is_well_elsewhere || self.attempts.contains(&end.attempt) {
+    /// Adds an attempt if tasks of its kind succeed on other runners.
+    ///
+    /// Each attempt counts once: a stuck one is observed repeatedly.
+    fn add(&mut self, observation: &health::Observation, succeeds_elsewhere: bool) {
+        if !succeeds_elsewhere || self.attempts.contains(&observation.attempt) {
             return;
         }
         if self.attempts.is_empty() {
-            self.since_sent_ms = end.sent_ms;
+            self.since_sent_ms = observation.sent_ms;
         }
         if self.attempts.len() < MAX_STREAK {
-            self.attempts.push(end.attempt);
+            self.attempts.push(observation.attempt);
         }
-        if self.kinds.len() < STREAK_KINDS && !self.kinds.contains(&end.kind) {
-            self.kinds.push(end.kind);
+        if self.kinds.len() < STREAK_KINDS && !self.kinds.contains(&observation.kind) {
+            self.kinds.push(observation.kind);
         }
     }
 
-    /// A task that was sent before the first of the streak says nothing of the time
-    /// since: a server that turns bad ends well what it had begun.
-    fn success(&mut self, sent_ms: u64) {
+    /// Ends the streak on a success, unless that task was sent before the streak's first.
+    ///
+    /// A server that starts to fail may still complete the tasks that it had begun.
+    fn reset_on_success(&mut self, sent_ms: u64) {
         if sent_ms >= self.since_sent_ms {
             *self = Self::default();
         }
     }
 
-    fn is_over(&self, bound: u32) -> bool {
-        let bound = MAX_STREAK.min(bound as usize);
-        self.attempts.len() >= bound && self.kinds.len() >= STREAK_KINDS
+    fn has_reached(&self, min_attempts: u32) -> bool {
+        let min_attempts = MAX_STREAK.min(min_attempts as usize);
+        self.attempts.len() >= min_attempts && self.kinds.len() >= STREAK_KINDS
     }
 
     const fn is_suspect(&self) -> bool {
@@ -67,88 +69,95 @@
     }
 }
 
-/// The evidence about one runner.
+/// Evidence about one runner.
 #[derive(Clone, Debug, Default)]
 pub struct Evidence {
-    last: Vec<Last>,
+    last_ends: Vec<LastEnd>,
     failures: Streak,
     stuck: Streak,
     slowness: slowness::Slowness,
 }
 
 impl Evidence {
-    /// A task ran well; `weight` is how much its run time speaks for a slow server.
-    pub fn succeeded(&mut self, now_ms: u64, end: &health::Observation, weight: f64) {
-        self.note(now_ms, end.kind, true);
-        self.failures.success(end.sent_ms);
-        self.stuck.success(end.sent_ms);
-        let sign = slowness::Sign {
-            sent_ms: end.sent_ms,
-            job: end.job,
-            weight,
+    /// Records a successful task; `llr` is the log-likelihood ratio of its run time.
+    pub fn record_success(&mut self, now_ms: u64, observation: &health::Observation, llr: f64) {
+        self.record_last(now_ms, observation.kind, true);
+        self.failures.reset_on_success(observation.sent_ms);
+        self.stuck.reset_on_success(observation.sent_ms);
+        let sample = slowness::Sample {
+            sent_ms: observation.sent_ms,
+            job: observation.job,
+            llr,
         };
-        self.slowness.ended(now_ms, sign);
+        self.slowness.record_ended(now_ms, sample);
     }
 
-    /// A task failed.
-    pub fn failed(&mut self, now_ms: u64, end: &health::Observation, is_well_elsewhere: bool) {
-        self.note(now_ms, end.kind, false);
-        self.stuck.success(end.sent_ms);
-        self.failures.add(end, is_well_elsewhere);
+    /// Records a failed task.
+    pub fn record_failure(
+        &mut self,
+        now_ms: u64,
+        observation: &health::Observation,
+        succeeds_elsewhere: bool,
+    ) {
+        self.record_last(now_ms, observation.kind, false);
+        self.stuck.reset_on_success(observation.sent_ms);
+        self.failures.add(observation, succeeds_elsewhere);
     }
 
-    /// A task does not end.
-    pub fn stuck(&mut self, end: &health::Observation, is_well_elsewhere: bool) {
-        self.stuck.add(end, is_well_elsewhere);
+    /// Records a task that does not end.
+    pub fn record_stuck(&mut self, observation: &health::Observation, succeeds_elsewhere: bool) {
+        self.stuck.add(observation, succeeds_elsewhere);
     }
 
-    fn note(&mut self, at_ms: u64, kind: kinds::Kind, was_well: bool) {
-        let fresh = Last {
+    fn record_last(&mut self, at_ms: u64, kind: kinds::Kind, is_success: bool) {
+        let end = LastEnd {
             kind,
             at_ms,
-            was_well,
+            is_success,
         };
-        if let Some(known) = self.last.iter_mut().find(|last| last.kind == kind) {
-            *known = fresh;
+        if let Some(known) = self.last_ends.iter_mut().find(|last| last.kind == kind) {
+            *known = end;
             return;
         }
-        if self.last.len() >= MAX_KINDS {
-            self.last.remove(0);
+        if self.last_ends.len() >= MAX_KINDS {
+            self.last_ends.remove(0);
         }
-        self.last.push(fresh);
+        self.last_ends.push(end);
     }
 
-    /// How the last task of a kind fared here, if it ended since then.
-    pub fn last(&self, kind: kinds::Kind, since_ms: u64) -> Option<bool> {
-        let last = self.last.iter().find(|last| last.kind == kind)?;
-        (last.at_ms >= since_ms).then_some(last.was_well)
+    /// Returns whether the last task of a kind succeeded here, if it ended since `since_ms`.
+    pub fn last_success(&self, kind: kinds::Kind, since_ms: u64) -> Option<bool> {
+        let last = self.last_ends.iter().find(|last| last.kind == kind)?;
+        (last.at_ms >= since_ms).then_some(last.is_success)
     }
 
-    /// Whether the last task failed or hangs although such tasks do well elsewhere.
+    /// Returns whether a streak has begun: a task failed or is stuck although tasks of its
+    /// kind succeed on other runners.
     pub const fn is_suspect(&self) -> bool {
         self.failures.is_suspect() || self.stuck.is_suspect()
     }
 
-    /// Whether so many failed in a row, or hang, of at least two teams or kinds.
-    pub fn is_failing(&self, bound: u32) -> bool {
-        self.failures.is_over(bound) || self.stuck.is_over(bound)
+    /// Returns whether at least `min_attempts` tasks of two teams or kinds failed in a row,
+    /// or are stuck.
+    pub fn is_failing(&self, min_attempts: u32) -> bool {
+        self.failures.has_reached(min_attempts) || self.stuck.has_reached(min_attempts)
     }
 
-    /// What speaks for a slow server.
+    /// State of the slowness test.
     pub const fn slowness(&self) -> &slowness::Slowness {
         &self.slowness
     }
 
-    /// The same, to be changed.
+    /// State of the slowness test, for modification.
     pub const fn slowness_mut(&mut self) -> &mut slowness::Slowness {
         &mut self.slowness
     }
 
-    /// Starts over, but for how each kind fared last.
+    /// Discards everything except the last result of each kind.
     pub fn clear(&mut self) {
-        let last = std::mem::take(&mut self.last);
+        let last_ends = std::mem::take(&mut self.last_ends);
         *self = Self {
-            last,
+            last_ends,
             ..Self::default()
         };
     }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,19 +1,21 @@
-//! Bad backend servers, as one entry sees them by what its own tasks come to.
+//! Detects bad backend servers by the results of an entry's own tasks.
 //!
-//! Answers three load patterns. A server that fails every task at once looks idle,
-//! so least-loaded placement sends it all the work; a slow one makes every job with
-//! a task on it late; a stuck one holds its tasks until their limit. Without this
-//! slice all three go on for ever. Evidence is always a comparison with what the
-//! same team and kind come to on other runners, so a burst of failing tasks, which
-//! fail everywhere, ejects nobody. How many may be out at once is bounded, and the
-//! last runner never is; `policy.eject_fraction = 0` switches the slice off. An entry
-//! ejects by its own evidence only; what others say makes it prefer other runners.
+//! Three load patterns make this necessary. A server that fails every task at once looks
+//! idle, so least-loaded placement sends it all the work. A slow server delays every job
+//! with a task on it. A stuck server holds its tasks until their limit. Without detection
+//! all three persist.
 //!
-//! - [`evidence`]: what one runner's tasks came to.
-//! - [`kinds`]: what each team and kind takes, over all runners.
-//! - [`slowness`]: whether its tasks take longer than elsewhere, also before they end.
-//! - [`state`]: in service, ejected, probed.
-//! - [`warnings`]: what other entries say.
+//! Evidence is always a comparison with results of the same team and kind on other runners.
+//! A burst of failing tasks fails everywhere and so ejects no runner. The number of runners
+//! ejected at a time is bounded, and the last one is never ejected.
+//! `policy.eject_fraction = 0` disables detection. An entry ejects runners by its own
+//! evidence only; on reports of other entries it merely prefers other runners.
+//!
+//! - [`evidence`]: results of one runner's tasks.
+//! - [`kinds`]: run times of each team and kind, over all runners.
+//! - [`slowness`]: whether tasks take longer than on other runners, even before they observation.
+//! - [`state`]: in service, ejected or probed.
+//! - [`warnings`]: reports of other entries.
 
 pub mod evidence;
 pub mod kinds;
@@ -28,55 +30,55 @@
 pub use kinds::Kind;
 pub use state::State;
 
-/// How one attempt ended, as the entry that sent it knows.
+/// State of one attempt, ended or still running, at the entry that sent it.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// The attempt's number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// The job it is of.
+    /// Job of the task.
     pub job: u64,
     /// Team and kind of the task.
     pub kind: Kind,
-    /// When it was sent, monotonic milliseconds.
+    /// Send time, monotonic milliseconds.
     pub sent_ms: u64,
-    /// How long it ran, milliseconds.
+    /// Run time so far, milliseconds.
     pub run_ms: u64,
-    /// How long it was expected to run, milliseconds.
+    /// Expected run time, milliseconds.
     pub expected_ms: u64,
-    /// What it came to.
+    /// Result, or [`codes::Code::Pending`] while it runs.
     pub code: codes::Code,
 }
 
-/// How far a runner is thought to be as fast as others.
+/// Confidence that a runner is as fast as others.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Trust {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     #[default]
     Full,
-    /// Others with a free slot are to be preferred.
+    /// Other runners with a free slot are to be preferred.
     SuspectedSlow,
-    /// A first probe after an ejection: only tasks with time to spare.
+    /// It awaits its first probe after an ejection and gets only tasks with time to spare.
     FirstProbe,
 }
 
-/// What one runner may be sent.
+/// Limits on what a runner may be sent.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Allowance {
-    /// Whether any other runner is to be preferred.
+    /// Whether every other runner is to be preferred.
     pub is_suspect: bool,
-    /// What its tasks' run times allow.
+    /// Confidence by the run times of its tasks.
     pub trust: Trust,
-    /// Most tasks of this entry there at once; absent: no bound from here.
+    /// Maximum number of this entry's concurrent tasks; `None` for no limit by health.
     pub max_tasks: Option<u32>,
 }
 
 #[derive(Debug, Default)]
-struct One {
+struct Record {
     state: State,
     evidence: evidence::Evidence,
 }
 
-impl One {
+impl Record {
     fn trust(&self, now_ms: u64) -> Trust {
         if self.state.is_first_probe(now_ms) {
             Trust::FirstProbe
@@ -88,128 +90,133 @@
     }
 }
 
-/// The health of all runners that this entry sent something.
+/// Health of all runners to which this entry has sent tasks.
 #[derive(Debug, Default)]
 pub struct Health {
     kinds: kinds::Kinds,
-    by_runner: slotmap::SecondaryMap<membership::RunnerKey, One>,
+    by_runner: slotmap::SecondaryMap<membership::RunnerKey, Record>,
     ejections: u64,
 }
 
-/// Ends on other runners without which nothing can be said of a kind elsewhere.
-const MIN_ELSEWHERE: usize = 2;
+/// Minimum number of other runners for a comparison.
+const MIN_OTHERS: usize = 2;
 
-/// Age after which a runner's last end says nothing of how a kind fares there,
-/// milliseconds: a burst of bad tasks is over by then.
-const ELSEWHERE_MS: u64 = 30_000;
+/// Age up to which the last result of a kind on a runner is used for comparison,
+/// milliseconds. A burst of failing tasks is over by then.
+const LAST_END_VALID_MS: u64 = 30_000;
 
 impl Health {
-    /// What is known of a runner; `SecondaryMap` gives no entry only for a null key.
-    fn one(&mut self, runner: membership::RunnerKey) -> &mut One {
+    /// Returns the record of a runner, and adds one if there is none.
+    ///
+    /// Indexing cannot fail: `SecondaryMap` rejects only a null key.
+    fn record(&mut self, runner: membership::RunnerKey) -> &mut Record {
         if !self.by_runner.contains_key(runner) {
-            self.by_runner.insert(runner, One::default());
+            self.by_runner.insert(runner, Record::default());
         }
         &mut self.by_runner[runner]
     }
 
-    /// The key of a team and kind.
+    /// Returns the number that stands for a team and kind.
     pub fn intern_kind(&mut self, team: &str, kind: &str) -> Kind {
         self.kinds.intern(team, kind)
     }
 
-    /// Ejections so far.
+    /// Number of ejections so far.
     pub const fn ejections(&self) -> u64 {
         self.ejections
     }
 
-    /// How many runners get nothing at the moment.
+    /// Number of runners that are ejected now.
     pub fn ejected(&self, now_ms: u64) -> usize {
         let states = self.by_runner.values();
-        states.filter(|one| one.state.is_out(now_ms)).count()
+        states
+            .filter(|record| record.state.is_ejected(now_ms))
+            .count()
     }
 
-    /// The runners that are out or being probed.
+    /// Iterates over the runners that are ejected or being probed.
     pub fn unhealthy(&self) -> impl Iterator<Item = membership::RunnerKey> {
         let all = self.by_runner.iter();
-        let bad = all.filter(|(_, one)| !one.state.is_in_service());
-        bad.map(|(key, _)| key)
+        let unhealthy = all.filter(|(_, record)| !record.state.is_in_service());
+        unhealthy.map(|(key, _)| key)
     }
 
-    /// How a runner stands.
+    /// Returns the service state of a runner.
     pub fn state(&self, runner: membership::RunnerKey) -> State {
         self.by_runner
             .get(runner)
-            .map_or_else(State::default, |one| one.state)
+            .map_or_else(State::default, |record| record.state)
     }
 
-    /// What a runner may be sent now.
+    /// Returns what a runner may be sent now.
     pub fn allowance(&self, now_ms: u64, runner: membership::RunnerKey) -> Allowance {
-        let Some(one) = self.by_runner.get(runner) else {
+        let Some(record) = self.by_runner.get(runner) else {
             return Allowance::default();
         };
-        let is_suspect = one.evidence.is_suspect();
-        let bound = is_suspect.then_some(1);
-        let max_tasks = match one.state.most(now_ms) {
-            Some(most) => Some(most.min(bound.unwrap_or(most))),
-            None => bound,
+        let is_suspect = record.evidence.is_suspect();
+        let suspect_limit = is_suspect.then_some(1);
+        let max_tasks = match record.state.max_tasks(now_ms) {
+            Some(limit) => Some(limit.min(suspect_limit.unwrap_or(limit))),
+            None => suspect_limit,
         };
         Allowance {
             is_suspect,
-            trust: one.trust(now_ms),
+            trust: record.trust(now_ms),
             max_tasks,
         }
     }
 
-    /// A runner's life is over.
+    /// Removes a runner whose incarnation has ended.
     pub fn remove_runner(&mut self, runner: membership::RunnerKey) {
         self.by_runner.remove(runner);
     }
 
-    /// Forgets all runners but those that are still known.
+    /// Removes all runners that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(membership::RunnerKey) -> bool) {
         self.by_runner.retain(|runner, _| is_known(runner));
     }
 
-    /// An attempt ended. Gives whether the runner is now to be ejected, see
+    /// Records the end of an attempt; returns whether to eject the runner now, see
     /// [`Health::eject`].
     pub fn record_end(
         &mut self,
         now_ms: u64,
         runner: membership::RunnerKey,
-        end: &Observation,
+        observation: &Observation,
         policy: &settings::Policy,
     ) -> bool {
         if policy.eject_fraction <= 0.0 {
             self.by_runner.clear();
             return false;
         }
-        match end.code {
-            codes::Code::Complete => self.succeeded(now_ms, runner, end),
-            codes::Code::TaskFailed => self.failed(now_ms, runner, end),
-            codes::Code::TaskTimedOut => self.stuck(now_ms, runner, end),
+        match observation.code {
+            codes::Code::Complete => self.record_success(now_ms, runner, observation),
+            codes::Code::TaskFailed => self.record_failure(now_ms, runner, observation),
+            codes::Code::TaskTimedOut => self.record_stuck(now_ms, runner, observation),
             _ => return false,
         }
         self.is_bad(runner, policy)
     }
 
-    /// An attempt was found running. Gives whether the runner is now to be ejected,
-    /// since its tasks run for longer than their kinds could explain.
+    /// Records an attempt that is still running; returns whether to eject the runner now,
+    /// because its tasks run for far longer than their kinds explain.
     pub fn record_running(
         &mut self,
         now_ms: u64,
         runner: membership::RunnerKey,
-        end: &Observation,
+        observation: &Observation,
         policy: &settings::Policy,
     ) -> bool {
-        if policy.eject_fraction <= 0.0 || !self.kinds.is_far_over(end) {
+        if policy.eject_fraction <= 0.0 || !self.kinds.is_far_overdue(observation) {
             return false;
         }
-        self.stuck(now_ms, runner, end);
+        self.record_stuck(now_ms, runner, observation);
         self.is_bad(runner, policy)
     }
 
-    /// Takes a runner out, unless too many are; `runners` is how many are in service
-    /// but for this slice's doing, this one included.
+    /// Ejects a runner unless too many are ejected; returns whether it did.
+    ///
+    /// `runners` is the number of usable runners, not counting ejections, with this one.
     pub fn eject(
         &mut self,
         now_ms: u64,
@@ -217,120 +224,147 @@
         runners: usize,
         policy: &settings::Policy,
     ) -> bool {
-        let has_room = self.ejected(now_ms) < max_ejected(runners, policy.eject_fraction);
-        let one = self.one(runner);
-        if !has_room || one.state.is_out(now_ms) {
+        let is_allowed = self.ejected(now_ms) < max_ejected(runners, policy.eject_fraction);
+        let record = self.record(runner);
+        if !is_allowed || record.state.is_ejected(now_ms) {
             return false;
         }
-        one.state.eject(now_ms, policy.eject_ms.into());
-        one.evidence.clear();
+        record.state.eject(now_ms, policy.eject_ms.into());
+        record.evidence.clear();
         self.ejections += 1;
         true
     }
 
-    fn succeeded(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &Observation) {
-        let excess = self.kinds.learn(end);
-        let shape = self.kinds.known(end.kind);
-        let weight = shape.map(|shape| slowness::weight(excess, shape));
-        // A kind too new to weigh must bring a runner back all the same.
+    fn record_success(
+        &mut self,
+        now_ms: u64,
+        runner: membership::RunnerKey,
+        observation: &Observation,
+    ) {
+        let excess = self.kinds.record_run_time(observation);
+        let distribution = self.kinds.known_distribution(observation.kind);
+        let llr = distribution.map(|distribution| slowness::llr_ended(excess, distribution));
+        // Probes of a kind with too few samples must be able to return a runner to service.
         let is_in_time = excess <= evidence::SLOW_EXCESS + self.kinds.spread();
-        let is_well = weight.map_or(Some(is_in_time), slowness::is_probe_well);
-        let one = self.one(runner);
-        // What was sent before the runner was taken out has spoken already.
-        let is_old = one.state.is_sent_before(end.sent_ms);
-        let weight = weight.filter(|_| !is_old);
-        one.evidence.succeeded(now_ms, end, weight.unwrap_or(0.0));
+        let is_probe_ok = llr.map_or(Some(is_in_time), slowness::is_probe_successful);
+        let record = self.record(runner);
+        // Tasks sent before the ejection have contributed to it already.
+        let is_old = record.state.is_sent_before(observation.sent_ms);
+        let llr = llr.filter(|_| !is_old);
+        record
+            .evidence
+            .record_success(now_ms, observation, llr.unwrap_or(0.0));
         if is_old {
             return;
         }
-        if let Some(is_well) = is_well {
-            one.state.probed(now_ms, is_well);
+        if let Some(is_probe_ok) = is_probe_ok {
+            record.state.record_probe(now_ms, is_probe_ok);
         }
     }
 
-    fn failed(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &Observation) {
-        let is_well = self.is_well_elsewhere(now_ms, end.kind, runner);
-        let one = self.one(runner);
-        one.evidence.failed(now_ms, end, is_well);
-        if is_well {
-            one.state.probed(now_ms, false);
+    fn record_failure(
+        &mut self,
+        now_ms: u64,
+        runner: membership::RunnerKey,
+        observation: &Observation,
+    ) {
+        let is_unusual = self.succeeds_elsewhere(now_ms, observation.kind, runner);
+        let record = self.record(runner);
+        record
+            .evidence
+            .record_failure(now_ms, observation, is_unusual);
+        if is_unusual {
+            record.state.record_probe(now_ms, false);
         }
     }
 
-    fn stuck(&mut self, now_ms: u64, runner: membership::RunnerKey, end: &Observation) {
-        let is_well = self.is_well_elsewhere(now_ms, end.kind, runner);
-        let one = self.one(runner);
-        one.evidence.stuck(end, is_well);
+    fn record_stuck(
+        &mut self,
+        now_ms: u64,
+        runner: membership::RunnerKey,
+        observation: &Observation,
+    ) {
+        let is_unusual = self.succeeds_elsewhere(now_ms, observation.kind, runner);
+        let record = self.record(runner);
+        record.evidence.record_stuck(observation, is_unusual);
     }
 
-    /// Whether most other runners where this kind ended lately did it well.
-    fn is_well_elsewhere(&self, now_ms: u64, kind: Kind, runner: membership::RunnerKey) -> bool {
+    /// Returns whether the last task of a kind succeeded on most other runners that had one
+    /// recently.
+    fn succeeds_elsewhere(&self, now_ms: u64, kind: Kind, runner: membership::RunnerKey) -> bool {
         let others = self.by_runner.iter().filter(|(key, _)| *key != runner);
-        let since_ms = now_ms.saturating_sub(ELSEWHERE_MS);
-        let (mut well, mut all) = (0, 0);
-        for (_, one) in others {
-            let Some(was_well) = one.evidence.last(kind, since_ms) else {
+        let since_ms = now_ms.saturating_sub(LAST_END_VALID_MS);
+        let (mut succeeded, mut total) = (0, 0);
+        for (_, record) in others {
+            let Some(is_success) = record.evidence.last_success(kind, since_ms) else {
                 continue;
             };
-            all += 1;
-            well += usize::from(was_well);
+            total += 1;
+            succeeded += usize::from(is_success);
         }
-        all >= MIN_ELSEWHERE && well * 2 > all
+        total >= MIN_OTHERS && succeeded * 2 > total
     }
 
     fn is_bad(&self, runner: membership::RunnerKey, policy: &settings::Policy) -> bool {
-        let Some(one) = self.by_runner.get(runner) else {
+        let Some(record) = self.by_runner.get(runner) else {
             return false;
         };
-        one.evidence.is_failing(policy.eject_failures)
-            || one.state.is_probe_failed()
-            || self.is_slow(runner, &one.evidence)
+        record.evidence.is_failing(policy.eject_failures)
+            || record.state.is_probe_failed()
+            || self.is_slow(runner, &record.evidence)
     }
 
     fn is_slow(&self, runner: membership::RunnerKey, evidence: &evidence::Evidence) -> bool {
-        // The others are looked at only where they could excuse it.
+        // Checked first, since the median of the others matters only for a slow runner.
         if !evidence.slowness().is_slow() {
             return false;
         }
         let others = self.by_runner.iter().filter(|(key, _)| *key != runner);
-        let mut weights: Vec<f64> = others
-            .map(|(_, one)| one.evidence.slowness().weight())
+        let mut scores: Vec<f64> = others
+            .map(|(_, record)| record.evidence.slowness().score())
             .collect();
-        weights.sort_by(f64::total_cmp);
-        let median = weights.get(weights.len() / 2);
-        weights.len() >= MIN_ELSEWHERE && median.is_some_and(|one| !slowness::is_common(*one))
+        scores.sort_by(f64::total_cmp);
+        let median = scores.get(scores.len() / 2);
+        scores.len() >= MIN_OTHERS && median.is_some_and(|value| !slowness::is_common(*value))
     }
 
-    fn signs(&self, running: impl Iterator<Item = (membership::RunnerKey, Observation)>) -> Signs {
-        let mut signs = Signs::new();
-        for (runner, end) in running {
-            let is_old = self.state(runner).is_sent_before(end.sent_ms);
-            let Some(shape) = self.kinds.known(end.kind).filter(|_| !is_old) else {
+    fn samples(
+        &self,
+        running: impl Iterator<Item = (membership::RunnerKey, Observation)>,
+    ) -> Samples {
+        let mut samples = Samples::new();
+        for (runner, observation) in running {
+            let is_old = self.state(runner).is_sent_before(observation.sent_ms);
+            let Some(distribution) = self
+                .kinds
+                .known_distribution(observation.kind)
+                .filter(|_| !is_old)
+            else {
                 continue;
             };
-            let sign = slowness::Sign {
-                sent_ms: end.sent_ms,
-                job: end.job,
-                weight: slowness::weight_running(self.kinds.excess(&end), shape),
+            let sample = slowness::Sample {
+                sent_ms: observation.sent_ms,
+                job: observation.job,
+                llr: slowness::llr_running(self.kinds.excess(&observation), distribution),
             };
-            if let Some(entry) = signs.entry(runner) {
-                entry.or_default().push(sign);
+            if let Some(entry) = samples.entry(runner) {
+                entry.or_default().push(sample);
             }
         }
-        signs
+        samples
     }
 
-    /// Looks anew at what runs: gives the runners that are now to be ejected.
+    /// Updates the slowness test with all running attempts; returns the runners to eject.
     pub fn check_running(
         &mut self,
         now_ms: u64,
         running: impl Iterator<Item = (membership::RunnerKey, Observation)>,
         policy: &settings::Policy,
     ) -> Vec<membership::RunnerKey> {
-        let signs = self.signs(running);
-        for (runner, one) in &mut self.by_runner {
-            let signs = signs.get(runner).cloned().unwrap_or_default();
-            one.evidence.slowness_mut().running(now_ms, signs);
+        let samples = self.samples(running);
+        for (runner, record) in &mut self.by_runner {
+            let samples = samples.get(runner).cloned().unwrap_or_default();
+            record.evidence.slowness_mut().set_running(now_ms, samples);
         }
         if policy.eject_fraction <= 0.0 {
             return Vec::new();
@@ -338,23 +372,23 @@
         let in_service = self
             .by_runner
             .iter()
-            .filter(|(_, one)| !one.state.is_out(now_ms));
-        let slow = in_service.filter(|(key, one)| self.is_slow(*key, &one.evidence));
+            .filter(|(_, record)| !record.state.is_ejected(now_ms));
+        let slow = in_service.filter(|(key, record)| self.is_slow(*key, &record.evidence));
         slow.map(|(key, _)| key).collect()
     }
 }
 
-/// What running tasks say, by runner.
-type Signs = slotmap::SecondaryMap<membership::RunnerKey, Vec<slowness::Sign>>;
+/// Samples of the running tasks, by runner.
+type Samples = slotmap::SecondaryMap<membership::RunnerKey, Vec<slowness::Sample>>;
 
-/// Most runners that may be ejected at once: the part that the policy names, at
-/// least one where there are two, and never the last.
+/// Returns how many runners may be ejected at a time: the given fraction, at least one of
+/// two or more, and never the last.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a part of a count is neither negative nor large"
+    reason = "a fraction of a count is neither negative nor large"
 )]
 pub fn max_ejected(runners: usize, fraction: f64) -> usize {
-    let part = (runners as f64 * fraction).floor() as usize;
-    part.max(1).min(runners.saturating_sub(1))
+    let bound = (runners as f64 * fraction).floor() as usize;
+    bound.max(1).min(runners.saturating_sub(1))
 }
--- a/src/health/slowness.rs
+++ b/src/health/slowness.rs
@@ -1,132 +1,132 @@
-//! Whether a runner is slow, by a sequential test over its tasks.
+//! Detects slow runners by a sequential test over the run times of their tasks.
 //!
-//! Each task weighs for or against the runner by the logarithm of how much likelier
-//! its run time is at a server four times slower than at one like the others. One that
-//! still runs counts by how long it has run already, so that a slow server is found
-//! before its tasks end. Where the kind's run times are known well a single task weighs
-//! much, else little; none weighs more than its kind's part of stragglers allows, and
-//! the tasks of one job, which are alike, weigh against the runner once.
+//! Each task contributes the log-likelihood ratio of its run time: how much more likely it
+//! is on a server four times slower than on one like the others. A task that still runs
+//! counts by its run time so far, so that a slow server is found before its tasks end. The
+//! ratio is large if the run times of the kind vary little, and small otherwise. It is
+//! bounded by the straggler fraction of the kind. Tasks of one job are alike, so only one
+//! of them counts against the runner.
 
 use std::collections;
 
 use crate::health::kinds;
 
-/// Excess of the slow server in question, as a natural logarithm: four times. Half of
-/// it, twice the time, is where a task speaks neither for nor against.
-const QUESTION: f64 = 1.386;
+/// Excess of the slow server that the test looks for, as a natural logarithm: four times
+/// the run time. A task at half of it, twice the run time, counts neither way.
+const SLOW_SERVER_EXCESS: f64 = 1.386;
 
-/// Weight from which on others are preferred, while they have free slots: half of what
-/// one task can weigh. In trials (seeds 1 to 12, both sites) p99 over ideal with a slow
-/// server was 1.39, 1.37 and 1.40 in the mean at 1.5, 2 and 3.
-const SUSPECT: f64 = 2.0;
+/// Score from which other runners with a free slot are preferred: half of what one task can
+/// contribute. With one slow server, the mean ratio of p99 to the ideal is 1.39, 1.37 and
+/// 1.40 at scores of 1.5, 2 and 3 (seeds 1 to 12, both sites).
+const SUSPECT_SCORE: f64 = 2.0;
 
-/// Weight that ejects: three tasks hardly possible at a server like the others, of as
-/// many jobs. In trials (24 runs without a fault, 2 of 100 tasks four times too long by
-/// chance) it ejected nobody; 10 ejected two.
-const EJECT: f64 = 11.0;
+/// Score that ejects: three tasks of as many jobs, each hardly possible on a server like
+/// the others. In 24 runs without a fault, with 2 of 100 tasks four times too long by
+/// chance, 11 ejected no runner and 10 ejected two.
+const EJECT_SCORE: f64 = 11.0;
 
-/// Weight of all others' median at which slowness is not this runner's own.
-const COMMON: f64 = 1.5;
+/// Median score of the other runners from which the slowness is common to most of them.
+const COMMON_SCORE: f64 = 1.5;
 
-/// Weight of a single probe from which on it went badly.
-const BAD_PROBE: f64 = 2.0;
+/// Log-likelihood ratio from which a single probe counts as failed.
+const FAILED_PROBE_LLR: f64 = 2.0;
 
-/// Age at which signs of slowness no longer count, milliseconds: a runner that is
-/// passed over shows no better ones.
-const SIGN_MS: u64 = 2_000;
+/// Time after the last update for which a score makes a runner suspect, milliseconds: a
+/// runner that gets no tasks cannot improve its score.
+const SUSPECT_MS: u64 = 2_000;
 
-/// Logistic curve that is nearest to the normal one.
-const LOGISTIC: f64 = 1.702;
+/// Scale of the logistic curve that is closest to the normal distribution.
+const LOGISTIC_SCALE: f64 = 1.702;
 
-/// Ended tasks remembered of a runner: some three rounds of its slots.
+/// Maximum number of ended tasks kept per runner: about three rounds of its slots.
 const MAX_ENDED: usize = 24;
 
-/// How much a task's excess speaks for a slow server once it ended.
-pub fn weight(excess: f64, shape: &kinds::Shape) -> f64 {
-    let spread = shape.spread();
-    let weight = QUESTION * (excess - QUESTION / 2.0) / (spread * spread);
-    let most = -shape.stragglers().ln();
-    weight.clamp(-most, most)
+/// Returns the log-likelihood ratio of an ended task's excess.
+pub fn llr_ended(excess: f64, distribution: &kinds::Distribution) -> f64 {
+    let spread = distribution.spread();
+    let llr = SLOW_SERVER_EXCESS * (excess - SLOW_SERVER_EXCESS / 2.0) / (spread * spread);
+    let max_llr = -distribution.straggler_fraction().ln();
+    llr.clamp(-max_llr, max_llr)
 }
 
-/// The same of one that still runs; never below zero.
-pub fn weight_running(excess: f64, shape: &kinds::Shape) -> f64 {
-    let spread = shape.spread();
-    let is_over = |mean: f64| 1.0 / (1.0 + (LOGISTIC * (excess - mean) / spread).exp());
-    let by_chance = shape.stragglers();
-    ((is_over(QUESTION) + by_chance) / (is_over(0.0) + by_chance)).ln()
+/// Returns the log-likelihood ratio of a running task's excess so far; never negative.
+pub fn llr_running(excess: f64, distribution: &kinds::Distribution) -> f64 {
+    let spread = distribution.spread();
+    let is_exceeded = |mean: f64| 1.0 / (1.0 + (LOGISTIC_SCALE * (excess - mean) / spread).exp());
+    let by_chance = distribution.straggler_fraction();
+    ((is_exceeded(SLOW_SERVER_EXCESS) + by_chance) / (is_exceeded(0.0) + by_chance)).ln()
 }
 
-/// Whether a probe went well; absent where it can't be told.
-pub fn is_probe_well(weight: f64) -> Option<bool> {
-    match weight {
-        weight if weight < 0.0 => Some(true),
-        weight if weight >= BAD_PROBE => Some(false),
+/// Returns whether a probe succeeded; `None` if its run time does not tell.
+pub fn is_probe_successful(llr: f64) -> Option<bool> {
+    match llr {
+        llr if llr < 0.0 => Some(true),
+        llr if llr >= FAILED_PROBE_LLR => Some(false),
         _ => None,
     }
 }
 
-/// Whether slowness of this weight is that of most others as well.
+/// Returns whether most other runners are slow as well, by the median of their scores.
 pub fn is_common(median: f64) -> bool {
-    median >= COMMON
+    median >= COMMON_SCORE
 }
 
-/// What one task says.
+/// Contribution of one task to the test.
 #[derive(Clone, Copy, Debug)]
-pub struct Sign {
-    /// When it was sent, monotonic milliseconds.
+pub struct Sample {
+    /// Send time of the task, monotonic milliseconds.
     pub sent_ms: u64,
-    /// The job it is of.
+    /// Job of the task.
     pub job: u64,
-    /// How much it speaks for a slow server.
-    pub weight: f64,
+    /// Log-likelihood ratio; positive if the run time is more likely on a slow server.
+    pub llr: f64,
 }
 
-/// The test's state for one runner.
+/// State of the test for one runner.
 ///
-/// Tasks are taken in the order in which they were sent, and the greatest sum of the
-/// weights since any moment counts: a server that turned slow does nothing well that it
-/// is sent later. So a straggler that runs on for seconds does not add to the next one
-/// where those sent between the two ended well.
+/// The score is a cumulative sum (CUSUM): the greatest sum of log-likelihood ratios over
+/// all tasks sent since any one moment. A server that turned slow is slow for every task
+/// sent later, so a straggler that runs for seconds does not add to the next one if tasks
+/// sent between the two ended in time.
 #[derive(Clone, Debug, Default)]
 pub struct Slowness {
-    ended: collections::VecDeque<Sign>,
-    running: Vec<Sign>,
-    weight: f64,
-    seen_ms: u64,
+    ended: collections::VecDeque<Sample>,
+    running: Vec<Sample>,
+    score: f64,
+    updated_ms: u64,
 }
 
 impl Slowness {
-    /// A task ended.
-    pub fn ended(&mut self, now_ms: u64, sign: Sign) {
+    /// Adds an ended task.
+    pub fn record_ended(&mut self, now_ms: u64, sample: Sample) {
         if self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
         }
         let at = self
             .ended
-            .partition_point(|one| one.sent_ms <= sign.sent_ms);
-        self.ended.insert(at, sign);
-        self.seen_ms = now_ms;
-        self.weigh();
+            .partition_point(|known| known.sent_ms <= sample.sent_ms);
+        self.ended.insert(at, sample);
+        self.updated_ms = now_ms;
+        self.update_score();
     }
 
-    /// Those that run are looked at anew.
-    pub fn running(&mut self, now_ms: u64, signs: Vec<Sign>) {
-        if signs.is_empty() && self.running.is_empty() {
+    /// Replaces the samples of the running tasks.
+    pub fn set_running(&mut self, now_ms: u64, samples: Vec<Sample>) {
+        if samples.is_empty() && self.running.is_empty() {
             return;
         }
-        self.running = signs;
-        self.running.sort_by_key(|sign| sign.sent_ms);
-        self.seen_ms = now_ms;
-        self.weigh();
+        self.running = samples;
+        self.running.sort_by_key(|sample| sample.sent_ms);
+        self.updated_ms = now_ms;
+        self.update_score();
     }
 
-    fn weigh(&mut self) {
+    fn update_score(&mut self) {
         let mut ended = self.ended.iter().rev().peekable();
         let mut running = self.running.iter().rev().peekable();
         let mut jobs = Vec::new();
         let mut sum = 0.0;
-        self.weight = 0.0;
+        self.score = 0.0;
         loop {
             let is_running_next = match (running.peek(), ended.peek()) {
                 (Some(running), Some(ended)) => running.sent_ms >= ended.sent_ms,
@@ -138,32 +138,32 @@
             } else {
                 ended.next()
             };
-            let Some(sign) = next else {
+            let Some(sample) = next else {
                 return;
             };
-            if sign.weight > 0.0 && jobs.contains(&sign.job) {
+            if sample.llr > 0.0 && jobs.contains(&sample.job) {
                 continue;
             }
-            if sign.weight > 0.0 {
-                jobs.push(sign.job);
+            if sample.llr > 0.0 {
+                jobs.push(sample.job);
             }
-            sum += sign.weight;
-            self.weight = self.weight.max(sum);
+            sum += sample.llr;
+            self.score = self.score.max(sum);
         }
     }
 
-    /// All that speaks for a slow server.
-    pub const fn weight(&self) -> f64 {
-        self.weight
+    /// Score of the test; greater if the runner is more likely slow.
+    pub const fn score(&self) -> f64 {
+        self.score
     }
 
-    /// Whether others are to be preferred.
+    /// Returns whether other runners are to be preferred.
     pub fn is_suspect(&self, now_ms: u64) -> bool {
-        self.seen_ms + SIGN_MS > now_ms && self.weight >= SUSPECT
+        self.updated_ms + SUSPECT_MS > now_ms && self.score >= SUSPECT_SCORE
     }
 
-    /// Whether it is slow, unless all others are.
+    /// Returns whether the runner is slow, without regard to the others.
     pub fn is_slow(&self) -> bool {
-        self.weight >= EJECT
+        self.score >= EJECT_SCORE
     }
 }
--- a/src/health/state.rs
+++ b/src/health/state.rs
@@ -1,82 +1,82 @@
-//! In service, ejected, probed: the life of a runner's standing.
+//! Service state of a runner: in service, ejected or probed.
 
-/// Most doublings of the time out: 5 s grow to 320 s at most.
+/// Maximum number of doublings of the ejection time: 5 s grow to at most 320 s.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Tasks at once at which a probed runner is in service again: the slots of today.
-const WHOLE: u32 = 8;
+/// Concurrent tasks at which a probed runner is in service again: the number of its slots.
+const FULL_SERVICE_TASKS: u32 = 8;
 
-/// How long a first probe may wait for a task that has time to spare, milliseconds.
-const PATIENCE_MS: u64 = 1_000;
+/// Time for which the first probe waits for a task with time to spare, milliseconds.
+const FIRST_PROBE_WAIT_MS: u64 = 1_000;
 
-/// How a runner stands with one entry.
+/// Service state of a runner at one entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum State {
-    /// It gets work as any other; `times` ejected without a long good time since.
+    /// It gets tasks like any other.
     InService {
-        /// Ejections that count for the next time out.
-        times: u32,
-        /// When it came back into service, monotonic milliseconds.
+        /// Ejections so far, for the length of the next one.
+        ejections: u32,
+        /// When it returned to service, monotonic milliseconds.
         since_ms: u64,
     },
-    /// It gets nothing until then, and is probed afterwards.
+    /// It gets no tasks until the ejection ends, and is then probed.
     Ejected(Ejected),
-    /// It gets a few tasks at once, more with each that goes well.
+    /// It gets a few tasks at a time, twice as many after each success.
     Probing(Probing),
 }
 
-/// Out of service.
+/// State of an ejected runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ejected {
     /// When probing begins, monotonic milliseconds.
     pub until_ms: u64,
     /// Ejections so far.
-    pub times: u32,
+    pub ejections: u32,
 }
 
-/// Being probed.
+/// State of a probed runner.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Probing {
-    /// Most tasks at once.
-    pub most: u32,
-    /// Whether a probe went badly.
+    /// Maximum number of concurrent tasks.
+    pub max_tasks: u32,
+    /// Whether a probe failed.
     pub is_failed: bool,
     /// Ejections so far.
-    pub times: u32,
+    pub ejections: u32,
 }
 
 impl Default for State {
     fn default() -> Self {
         Self::InService {
-            times: 0,
+            ejections: 0,
             since_ms: 0,
         }
     }
 }
 
 impl Ejected {
-    const fn probe(self) -> Probing {
+    const fn start_probing(self) -> Probing {
         Probing {
-            most: 1,
+            max_tasks: 1,
             is_failed: false,
-            times: self.times,
+            ejections: self.ejections,
         }
     }
 }
 
 impl Probing {
-    const fn went_well(self, now_ms: u64) -> State {
-        let most = self.most * 2;
-        if most >= WHOLE {
+    const fn after_success(self, now_ms: u64) -> State {
+        let max_tasks = self.max_tasks * 2;
+        if max_tasks >= FULL_SERVICE_TASKS {
             return State::InService {
-                times: self.times,
+                ejections: self.ejections,
                 since_ms: now_ms,
             };
         }
-        State::Probing(Self { most, ..self })
+        State::Probing(Self { max_tasks, ..self })
     }
 
-    const fn went_badly(self) -> State {
+    const fn after_failure(self) -> State {
         State::Probing(Self {
             is_failed: true,
             ..self
@@ -85,85 +85,91 @@
 }
 
 impl State {
-    /// Whether it gets nothing now.
-    pub const fn is_out(&self, now_ms: u64) -> bool {
+    /// Returns whether the runner gets no tasks now.
+    pub const fn is_ejected(&self, now_ms: u64) -> bool {
         matches!(self, Self::Ejected(ejected) if ejected.until_ms > now_ms)
     }
 
-    /// Whether only tasks with time to spare are to be sent: the first probe is likely
-    /// to find the server as bad as it was.
+    /// Returns whether only tasks with time to spare are to be sent: the first probe is
+    /// likely to find the server as bad as it was.
     pub const fn is_first_probe(&self, now_ms: u64) -> bool {
-        matches!(self, Self::Ejected(ejected) if ejected.until_ms + PATIENCE_MS > now_ms)
+        matches!(self, Self::Ejected(ejected) if ejected.until_ms + FIRST_PROBE_WAIT_MS > now_ms)
     }
 
-    /// Whether a task sent then was sent before the runner was taken out.
+    /// Returns whether a task sent at `sent_ms` was sent before probing began, and so before
+    /// the runner was ejected.
     pub const fn is_sent_before(&self, sent_ms: u64) -> bool {
         matches!(self, Self::Ejected(ejected) if sent_ms < ejected.until_ms)
     }
 
-    /// Whether it is in service without a bound.
+    /// Returns whether the runner is in service without limit.
     pub const fn is_in_service(&self) -> bool {
         matches!(self, Self::InService { .. })
     }
 
-    /// Most tasks at once; absent: no bound from here.
-    pub const fn most(&self, now_ms: u64) -> Option<u32> {
+    /// Maximum number of concurrent tasks; `None` for no limit by health.
+    pub const fn max_tasks(&self, now_ms: u64) -> Option<u32> {
         match self {
             Self::InService { .. } => None,
-            Self::Ejected(_) if self.is_out(now_ms) => Some(0),
-            Self::Ejected(ejected) => Some(ejected.probe().most),
-            Self::Probing(probing) => Some(probing.most),
+            Self::Ejected(_) if self.is_ejected(now_ms) => Some(0),
+            Self::Ejected(ejected) => Some(ejected.start_probing().max_tasks),
+            Self::Probing(probing) => Some(probing.max_tasks),
         }
     }
 
-    /// A task ended that may have been a probe. What ends while the runner is out
-    /// was sent before and is none.
-    pub const fn probed(&mut self, now_ms: u64, is_well: bool) {
+    /// Records the result of a task, which counts as a probe if the runner is being probed.
+    ///
+    /// A task that ends during the ejection was sent before it and is no probe.
+    pub const fn record_probe(&mut self, now_ms: u64, is_success: bool) {
         let probing = match *self {
             Self::InService { .. } => return,
-            Self::Ejected(_) if self.is_out(now_ms) => return,
-            Self::Ejected(ejected) => ejected.probe(),
+            Self::Ejected(_) if self.is_ejected(now_ms) => return,
+            Self::Ejected(ejected) => ejected.start_probing(),
             Self::Probing(probing) => probing,
         };
-        *self = if is_well {
-            probing.went_well(now_ms)
+        *self = if is_success {
+            probing.after_success(now_ms)
         } else {
-            probing.went_badly()
+            probing.after_failure()
         };
     }
 
-    /// Whether a probe went badly.
+    /// Returns whether a probe failed.
     pub const fn is_probe_failed(&self) -> bool {
         matches!(self, Self::Probing(probing) if probing.is_failed)
     }
 
-    /// Takes it out, for twice as long as the time before; the count starts over
-    /// after a good time of ten times the first.
+    /// Ejects the runner, each time for twice as long as before.
+    ///
+    /// The count starts over if the runner was in service for ten times the first length.
     pub const fn eject(&mut self, now_ms: u64, eject_ms: u64) {
-        let times = match *self {
-            Self::InService { times, since_ms } => {
+        let ejections = match *self {
+            Self::InService {
+                ejections,
+                since_ms,
+            } => {
                 let is_long_ago = now_ms > since_ms + eject_ms * 10;
-                if is_long_ago { 0 } else { times }
+                if is_long_ago { 0 } else { ejections }
             }
-            Self::Ejected(ejected) => ejected.times,
-            Self::Probing(probing) => probing.times,
+            Self::Ejected(ejected) => ejected.ejections,
+            Self::Probing(probing) => probing.ejections,
         };
-        let doublings = if times < MAX_DOUBLINGS {
-            times
+        let doublings = if ejections < MAX_DOUBLINGS {
+            ejections
         } else {
             MAX_DOUBLINGS
         };
         *self = Self::Ejected(Ejected {
             until_ms: now_ms + (eject_ms << doublings),
-            times: times + 1,
+            ejections: ejections + 1,
         });
     }
 
-    /// The word for it in `/status`; absent in service.
+    /// Name of the state in `/status`; `None` in service.
     pub const fn label(&self, now_ms: u64) -> Option<&'static str> {
         match self {
             Self::InService { .. } => None,
-            Self::Ejected(_) if self.is_out(now_ms) => Some("ejected"),
+            Self::Ejected(_) if self.is_ejected(now_ms) => Some("ejected"),
             Self::Ejected(_) | Self::Probing(_) => Some("probing"),
         }
     }
--- a/tests/unit/health.rs
+++ b/tests/unit/health.rs
@@ -1,4 +1,4 @@
-//! Who is found a bad backend server, and who is not.
+//! Detection and ejection of bad backend servers.
 
 use bulrushtiller::codes;
 use bulrushtiller::health;
@@ -18,7 +18,7 @@
     ("oficina", "check"),
 ];
 
-/// Eleven runners and what one entry thinks of them.
+/// Eleven runners and their health at one entry.
 struct Site {
     health: health::Health,
     keys: Vec<membership::RunnerKey>,
@@ -39,12 +39,12 @@
 }
 
 impl Site {
-    /// A task of a kind ended on a runner after so long, `code` telling how.
-    fn end(&mut self, runner: usize, kind: usize, run_ms: u64, code: codes::Code) {
+    /// Ends a task of a kind on a runner after `run_ms` with the given result.
+    fn end_task(&mut self, runner: usize, kind: usize, run_ms: u64, code: codes::Code) {
         self.attempts += 1;
         self.now_ms += 10;
         let (team, name) = KINDS[kind % KINDS.len()];
-        let end = health::Observation {
+        let observation = health::Observation {
             attempt: self.attempts,
             job: self.attempts,
             kind: self.health.intern_kind(team, name),
@@ -54,38 +54,41 @@
             code,
         };
         let key = self.keys[runner];
-        if self.health.record_end(self.now_ms, key, &end, &self.policy) {
+        if self
+            .health
+            .record_end(self.now_ms, key, &observation, &self.policy)
+        {
             self.health.eject(self.now_ms, key, RUNNERS, &self.policy);
         }
     }
 
-    /// Every runner does a few tasks of each kind well.
-    fn all_well(&mut self) {
+    /// Completes one task of each kind on every runner, in the expected time.
+    fn complete_on_all(&mut self) {
         for runner in 0..RUNNERS {
             for kind in 0..KINDS.len() {
-                self.end(runner, kind, 100, codes::Code::Complete);
+                self.end_task(runner, kind, 100, codes::Code::Complete);
             }
         }
     }
 
-    fn all_well_but(&mut self, but: usize) {
-        for runner in (0..RUNNERS).filter(|runner| *runner != but) {
-            self.end(runner, 0, 100, codes::Code::Complete);
+    fn complete_on_others(&mut self, excluded: usize) {
+        for runner in (0..RUNNERS).filter(|runner| *runner != excluded) {
+            self.end_task(runner, 0, 100, codes::Code::Complete);
         }
     }
 
-    fn fails(&mut self, runner: usize, kinds: &[usize], times: usize) {
+    fn fail_tasks(&mut self, runner: usize, kinds: &[usize], times: usize) {
         for at in 0..times {
-            self.end(runner, kinds[at % kinds.len()], 1, codes::Code::TaskFailed);
+            self.end_task(runner, kinds[at % kinds.len()], 1, codes::Code::TaskFailed);
         }
     }
 
-    /// Tasks of as many jobs, of a kind that takes 100 ms, were sent then and are found
-    /// running for so long.
-    fn runs(&mut self, runners: &[usize], tasks: u64, sent_ms: u64, run_ms: u64) {
+    /// Reports tasks of an expected 100 ms, each of another job, as sent at `sent_ms` and
+    /// still running after `run_ms`.
+    fn report_running(&mut self, runners: &[usize], tasks: u64, sent_ms: u64, run_ms: u64) {
         self.now_ms = self.now_ms.max(sent_ms + run_ms);
         let kind = self.health.intern_kind(KINDS[0].0, KINDS[0].1);
-        let end = |job| health::Observation {
+        let observation = |job| health::Observation {
             attempt: job,
             job,
             kind,
@@ -95,7 +98,8 @@
             code: codes::Code::Pending,
         };
         let keys = runners.iter().map(|runner| self.keys[*runner]);
-        let all = keys.flat_map(|key| (0..tasks).map(move |job| (key, end(1_000_000 + job))));
+        let all =
+            keys.flat_map(|key| (0..tasks).map(move |job| (key, observation(1_000_000 + job))));
         let all: Vec<_> = all.collect();
         let slow = self
             .health
@@ -110,12 +114,12 @@
         self.health.allowance(self.now_ms, key).trust
     }
 
-    fn most(&self, runner: usize) -> Option<u32> {
+    fn max_tasks(&self, runner: usize) -> Option<u32> {
         let key = self.keys[runner];
         self.health.allowance(self.now_ms, key).max_tasks
     }
 
-    fn word(&self, runner: usize) -> Option<&'static str> {
+    fn label(&self, runner: usize) -> Option<&'static str> {
         self.health.state(self.keys[runner]).label(self.now_ms)
     }
 }
@@ -125,44 +129,44 @@
 #[case::two_teams(&[0, 2], 5, Some("ejected"))]
 #[case::one_kind_only(&[0], 50, None)]
 #[case::too_few(&[0, 1], 4, None)]
-fn failures_in_a_row_of_two_kinds_eject(
+fn consecutive_failures_of_two_kinds_eject_a_runner(
     #[case] kinds: &[usize],
     #[case] times: usize,
-    #[case] word: Option<&str>,
+    #[case] label: Option<&str>,
 ) {
     let mut site = site();
-    site.all_well();
+    site.complete_on_all();
 
-    site.fails(3, kinds, times);
+    site.fail_tasks(3, kinds, times);
 
-    assert_eq!(site.word(3), word);
+    assert_eq!(site.label(3), label);
 }
 
-/// A user sends a burst of jobs whose tasks all fail. They fail wherever they run,
-/// so every runner shows many failures in a row, of several kinds; the cause is the
-/// tasks. Taking runners out for them would take the slots from everybody else.
+/// A user submits a burst of jobs whose tasks all fail. They fail on every runner, so each
+/// one shows many consecutive failures of several kinds. Ejecting runners for them would
+/// take slots from all other users.
 #[test]
-fn kinds_that_fail_everywhere_eject_nobody() {
+fn kinds_that_fail_everywhere_eject_no_runner() {
     let mut site = site();
-    site.all_well();
+    site.complete_on_all();
 
     for round in 0..20 {
         for runner in 0..RUNNERS {
-            site.end(runner, round % 2, 1, codes::Code::TaskFailed);
+            site.end_task(runner, round % 2, 1, codes::Code::TaskFailed);
         }
     }
 
     assert_eq!(site.health.ejections(), 0);
 }
 
-/// A server turns bad while it still runs tasks begun before; they end well after the
-/// first failures. Without looking at when a task was sent each of them would start
-/// the count of failures over, and the server would draw work for seconds more.
+/// A server starts to fail while it still runs earlier tasks, which succeed after the first
+/// failures. If these successes reset the count of failures, the server would attract
+/// tasks for seconds more.
 #[test]
-fn a_success_sent_before_the_failures_does_not_excuse_them() {
+fn success_sent_before_the_failures_does_not_reset_them() {
     let mut site = site();
-    site.all_well();
-    site.fails(3, &[0, 1], 4);
+    site.complete_on_all();
+    site.fail_tasks(3, &[0, 1], 4);
     let early = health::Observation {
         attempt: 0,
         job: 0,
@@ -175,17 +179,17 @@
 
     site.health
         .record_end(site.now_ms, site.keys[3], &early, &site.policy);
-    site.fails(3, &[0], 1);
+    site.fail_tasks(3, &[0], 1);
 
-    assert_eq!(site.word(3), Some("ejected"));
+    assert_eq!(site.label(3), Some("ejected"));
 }
 
 #[test]
-fn a_suspect_is_sent_one_task_at_a_time() {
+fn suspect_runner_is_limited_to_one_task() {
     let mut site = site();
-    site.all_well();
+    site.complete_on_all();
 
-    site.fails(3, &[0], 1);
+    site.fail_tasks(3, &[0], 1);
 
     let allowance = site.health.allowance(site.now_ms, site.keys[3]);
     let suspect = health::Allowance {
@@ -198,185 +202,188 @@
 
 #[rstest]
 #[case::four_times(400, Some("ejected"))]
-#[case::half_more(150, None)]
-fn a_slow_server_is_ejected(#[case] run_ms: u64, #[case] word: Option<&str>) {
+#[case::one_and_a_half_times(150, None)]
+fn slow_runner_is_ejected(#[case] run_ms: u64, #[case] label: Option<&str>) {
     let mut site = site();
     for _ in 0..8 {
-        site.all_well();
+        site.complete_on_all();
     }
 
     for at in 0..20 {
-        site.end(3, at, run_ms, codes::Code::Complete);
-        site.all_well_but(3);
+        site.end_task(3, at, run_ms, codes::Code::Complete);
+        site.complete_on_others(3);
     }
 
-    assert_eq!(site.word(3), word);
+    assert_eq!(site.label(3), label);
 }
 
-/// A server turns slow; callers see every job with a task on it late. Its tasks take
-/// seconds to end, and until then it draws as many as it has slots. Tasks that are still
-/// running beyond what their kind takes show it before.
+/// A server turns slow, and every job with a task on it is late. Its tasks take seconds to
+/// end, and until then it attracts as many as it has slots. Tasks that run longer than their
+/// kind does must reveal it earlier.
 #[rstest]
 #[case::three_jobs(3, 400, Some("ejected"))]
 #[case::two_jobs(2, 400, None)]
 #[case::in_time(8, 90, None)]
-fn tasks_that_run_on_eject_before_they_end(
+fn overdue_running_tasks_eject_a_runner_before_they_end(
     #[case] tasks: u64,
     #[case] run_ms: u64,
-    #[case] word: Option<&str>,
+    #[case] label: Option<&str>,
 ) {
     let mut site = site();
     for _ in 0..20 {
-        site.all_well();
+        site.complete_on_all();
     }
 
-    site.runs(&[3], tasks, site.now_ms, run_ms);
+    site.report_running(&[3], tasks, site.now_ms, run_ms);
 
-    assert_eq!(site.word(3), word);
+    assert_eq!(site.label(3), label);
 }
 
-/// A few tasks of a healthy server run on by chance. What it was sent later ends well, so
-/// it is not the server; ejected, its slots would be missing to everybody.
+/// A few tasks of a healthy server take long by chance. Tasks sent to it later end in time,
+/// so the server is not the cause, and ejecting it would only cost its slots.
 #[test]
-fn stragglers_before_tasks_that_ended_well_eject_nobody() {
+fn stragglers_sent_before_tasks_that_end_in_time_eject_no_runner() {
     let mut site = site();
     for _ in 0..20 {
-        site.all_well();
+        site.complete_on_all();
     }
 
     let sent_ms = site.now_ms;
     for _ in 0..7 {
-        site.end(3, 0, 100, codes::Code::Complete);
+        site.end_task(3, 0, 100, codes::Code::Complete);
     }
-    site.runs(&[3], 8, sent_ms, 400);
+    site.report_running(&[3], 8, sent_ms, 400);
 
-    assert_eq!((site.word(3), site.trust(3)), (None, health::Trust::Full));
+    assert_eq!((site.label(3), site.trust(3)), (None, health::Trust::Full));
 }
 
-/// A user sends a burst of jobs whose tasks take far longer than such tasks do. They run
-/// on wherever they are, so the cause is the tasks and not a server.
+/// A user submits a burst of jobs whose tasks take far longer than their kind usually does.
+/// They do so on every runner, so the cause is the tasks and not a server.
 #[test]
-fn tasks_that_run_on_everywhere_eject_nobody() {
+fn tasks_overdue_on_all_runners_eject_no_runner() {
     let mut site = site();
     for _ in 0..20 {
-        site.all_well();
+        site.complete_on_all();
     }
 
     let all: Vec<_> = (0..RUNNERS).collect();
-    site.runs(&all, 8, site.now_ms, 400);
+    site.report_running(&all, 8, site.now_ms, 400);
 
     assert_eq!(site.health.ejections(), 0);
 }
 
-/// A caller gives each job a kind of its own. The shortest tasks of a job end first, and
-/// beside these all others look late; runners were ejected for it without any fault.
+/// A caller gives each job a kind of its own. The shortest tasks of a job end first;
+/// compared with those alone all others look slow, and healthy runners would be ejected.
 #[test]
-fn a_kind_of_which_little_ended_ejects_nobody() {
+fn kind_with_few_samples_ejects_no_runner() {
     let mut site = site();
-    site.all_well();
+    site.complete_on_all();
 
-    site.runs(&[3], 8, site.now_ms, 400);
+    site.report_running(&[3], 8, site.now_ms, 400);
 
-    assert_eq!((site.word(3), site.trust(3)), (None, health::Trust::Full));
+    assert_eq!((site.label(3), site.trust(3)), (None, health::Trust::Full));
 }
 
 #[rstest]
 #[case::one(1, health::Trust::SuspectedSlow)]
 #[case::none(0, health::Trust::Full)]
-fn a_task_that_runs_on_has_others_preferred(#[case] tasks: u64, #[case] trust: health::Trust) {
+fn one_overdue_task_makes_a_runner_suspected_slow(
+    #[case] tasks: u64,
+    #[case] trust: health::Trust,
+) {
     let mut site = site();
     for _ in 0..20 {
-        site.all_well();
+        site.complete_on_all();
     }
 
-    site.runs(&[3], tasks, site.now_ms, 400);
+    site.report_running(&[3], tasks, site.now_ms, 400);
 
-    assert_eq!((site.trust(3), site.most(3)), (trust, None));
+    assert_eq!((site.trust(3), site.max_tasks(3)), (trust, None));
 }
 
 #[test]
-fn the_first_probe_waits_a_while_for_a_task_with_time_to_spare() {
+fn first_probe_waits_one_second_for_a_task_with_time_to_spare() {
     let mut site = site();
-    site.all_well();
-    site.fails(3, &[0, 1], 5);
+    site.complete_on_all();
+    site.fail_tasks(3, &[0, 1], 5);
 
     site.now_ms += u64::from(site.policy.eject_ms);
-    let first = site.trust(3);
+    let at_first = site.trust(3);
     site.now_ms += 1_000;
 
-    let trust = [first, site.trust(3)];
+    let trust = [at_first, site.trust(3)];
     assert_eq!(trust, [health::Trust::FirstProbe, health::Trust::Full]);
 }
 
 #[test]
-fn a_warning_holds_until_it_is_taken_back_or_its_entry_is_silent() {
+fn warning_ends_when_its_entry_withdraws_it_or_is_silent() {
     let mut warnings = health::warnings::Warnings::default();
     let (entry, runner) = ("entry-1".into(), ids::Incarnation(7));
 
     warnings.record_report(1_000, &entry, &[runner]);
     warnings.expire(1_000);
-    let mut is_named = vec![warnings.is_reported(runner)];
+    let mut was_reported = vec![warnings.is_reported(runner)];
     warnings.expire(1_001);
-    is_named.push(warnings.is_reported(runner));
+    was_reported.push(warnings.is_reported(runner));
     warnings.record_report(2_000, &entry, &[runner]);
     warnings.record_report(2_500, &entry, &[]);
-    is_named.push(warnings.is_reported(runner));
+    was_reported.push(warnings.is_reported(runner));
 
-    assert_eq!(is_named, [true, false, false]);
+    assert_eq!(was_reported, [true, false, false]);
 }
 
 #[test]
-fn an_ejected_server_is_probed_with_one_task_and_then_more() {
+fn ejected_runner_is_probed_with_one_task_and_then_twice_as_many() {
     let mut site = site();
-    site.all_well();
-    site.fails(3, &[0, 1], 5);
-    let out = site.most(3);
+    site.complete_on_all();
+    site.fail_tasks(3, &[0, 1], 5);
+    let while_ejected = site.max_tasks(3);
     site.now_ms += u64::from(site.policy.eject_ms);
 
-    let mut most = vec![out, site.most(3)];
+    let mut max_tasks = vec![while_ejected, site.max_tasks(3)];
     for _ in 0..3 {
-        site.end(3, 0, 100, codes::Code::Complete);
-        most.push(site.most(3));
+        site.end_task(3, 0, 100, codes::Code::Complete);
+        max_tasks.push(site.max_tasks(3));
     }
 
-    assert_eq!(most, [Some(0), Some(1), Some(2), Some(4), None]);
+    assert_eq!(max_tasks, [Some(0), Some(1), Some(2), Some(4), None]);
 }
 
 #[test]
-fn a_failed_probe_doubles_the_time_out() {
+fn failed_probe_doubles_the_ejection_time() {
     let mut site = site();
-    site.all_well();
-    site.fails(3, &[0, 1], 5);
+    site.complete_on_all();
+    site.fail_tasks(3, &[0, 1], 5);
     let eject_ms = u64::from(site.policy.eject_ms);
     site.now_ms += eject_ms;
-    site.all_well_but(3);
+    site.complete_on_others(3);
 
-    site.fails(3, &[0], 1);
+    site.fail_tasks(3, &[0], 1);
 
     site.now_ms += eject_ms;
-    assert_eq!(site.word(3), Some("ejected"));
+    assert_eq!(site.label(3), Some("ejected"));
     site.now_ms += eject_ms;
-    assert_eq!(site.word(3), Some("probing"));
+    assert_eq!(site.label(3), Some("probing"));
 }
 
 #[rstest]
 #[case::none(0, 0.3, 0)]
 #[case::never_the_last(1, 0.9, 0)]
 #[case::one_of_two(2, 0.3, 1)]
-#[case::a_third_of_eleven(11, 0.3, 3)]
+#[case::three_of_eleven(11, 0.3, 3)]
 #[case::most_of_ten(10, 0.9, 9)]
-fn the_floor_is_a_part_and_never_the_last(
+fn ejection_limit_is_a_fraction_and_spares_the_last_runner(
     #[case] runners: usize,
     #[case] fraction: f64,
-    #[case] most: usize,
+    #[case] expected: usize,
 ) {
-    let out = health::max_ejected(runners, fraction);
+    let limit = health::max_ejected(runners, fraction);
 
-    assert_eq!(out, most);
+    assert_eq!(limit, expected);
 }
 
 #[test]
-fn never_more_are_out_than_the_floor_allows() {
+fn number_of_ejected_runners_never_exceeds_the_limit() {
     let mut runner = fixtures::fixed_runner(CASES);
     let step = (0..RUNNERS, 0..KINDS.len(), 0_u8..8);
     let input = (collection::vec(step, 0..400), 0.0..0.9_f64);
@@ -385,18 +392,18 @@
         let mut site = site();
         site.policy.eject_fraction = fraction;
         site.policy.eject_failures = 2;
-        site.all_well();
-        for (server, kind, what) in steps {
-            match what {
-                0..5 => site.end(server, kind, 1, codes::Code::TaskFailed),
-                5 => site.end(server, kind, 2_000, codes::Code::Complete),
-                _ => site.end(server, kind, 100, codes::Code::Complete),
+        site.complete_on_all();
+        for (server, kind, result) in steps {
+            match result {
+                0..5 => site.end_task(server, kind, 1, codes::Code::TaskFailed),
+                5 => site.end_task(server, kind, 2_000, codes::Code::Complete),
+                _ => site.end_task(server, kind, 100, codes::Code::Complete),
             }
-            let out = (0..RUNNERS)
-                .filter(|one| site.most(*one) == Some(0))
+            let ejected_runners = (0..RUNNERS)
+                .filter(|index| site.max_tasks(*index) == Some(0))
                 .count();
-            assert!(out <= health::max_ejected(RUNNERS, fraction));
-            assert_eq!(out, site.health.ejected(site.now_ms));
+            assert!(ejected_runners <= health::max_ejected(RUNNERS, fraction));
+            assert_eq!(ejected_runners, site.health.ejected(site.now_ms));
         }
         Ok(())
     });
@@ -405,12 +412,12 @@
 }
 
 #[test]
-fn a_fraction_of_nothing_switches_it_off() {
+fn eject_fraction_of_zero_disables_ejection() {
     let mut site = site();
     site.policy.eject_fraction = 0.0;
-    site.all_well();
+    site.complete_on_all();
 
-    site.fails(3, &[0, 1], 50);
+    site.fail_tasks(3, &[0, 1], 50);
 
-    assert_eq!((site.word(3), site.most(3)), (None, None));
+    assert_eq!((site.label(3), site.max_tasks(3)), (None, None));
 }
