--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -302,7 +302,7 @@
         let server = serve(listener, self.cfg.threads, bounds, &progress, move |cfg| {
             cfg.app_data(web::Data::new(shared.clone()));
             cfg.app_data(web::Data::new(ways.clone()));
-            runner::http::pages(cfg);
+            runner::http::routes(cfg);
         })?;
         announce(&[("listening", address)])?;
         Ok(Opened {
--- a/src/health/kinds.rs
+++ b/src/health/kinds.rs
@@ -10,8 +10,8 @@
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Kind(pub u32);
 
-/// Maximum number of kinds told apart; all further ones share one number, so that a caller
-/// who invents a kind for each task cannot use up the memory.
+/// Maximum number of kinds with a number of their own; all further ones share one number, so
+/// that a caller who invents a kind for each task cannot use up the memory.
 const MAX_KINDS: usize = 4_096;
 
 /// Weight of one sample in the moving averages.
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -13,7 +13,7 @@
 //!
 //! - [`evidence`]: results of one runner's tasks.
 //! - [`kinds`]: run times of each team and kind, over all runners.
-//! - [`slowness`]: whether tasks take longer than on other runners, even before they observation.
+//! - [`slowness`]: whether tasks take longer than on other runners, even before they end.
 //! - [`state`]: in service, ejected or probed.
 //! - [`warnings`]: reports of other entries.
 
@@ -195,7 +195,7 @@
             codes::Code::TaskTimedOut => self.record_stuck(now_ms, runner, observation),
             _ => return false,
         }
-        self.is_bad(runner, policy)
+        self.should_eject(runner, policy)
     }
 
     /// Records an attempt that is still running; returns whether to eject the runner now,
@@ -211,12 +211,13 @@
             return false;
         }
         self.record_stuck(now_ms, runner, observation);
-        self.is_bad(runner, policy)
+        self.should_eject(runner, policy)
     }
 
     /// Ejects a runner unless too many are ejected; returns whether it did.
     ///
-    /// `runners` is the number of usable runners, not counting ejections, with this one.
+    /// `runners` is the number of runners that would be in service without ejections,
+    /// including this one.
     pub fn eject(
         &mut self,
         now_ms: u64,
@@ -305,7 +306,7 @@
         total >= MIN_OTHERS && succeeded * 2 > total
     }
 
-    fn is_bad(&self, runner: membership::RunnerKey, policy: &settings::Policy) -> bool {
+    fn should_eject(&self, runner: membership::RunnerKey, policy: &settings::Policy) -> bool {
         let Some(record) = self.by_runner.get(runner) else {
             return false;
         };
@@ -354,7 +355,7 @@
         samples
     }
 
-    /// Updates the slowness test with all running attempts; returns the runners to eject.
+    /// Updates the slowness test with the given running attempts; returns the runners to eject.
     pub fn check_running(
         &mut self,
         now_ms: u64,
--- a/src/health/slowness.rs
+++ b/src/health/slowness.rs
@@ -1,11 +1,11 @@
 //! Detects slow runners by a sequential test over the run times of their tasks.
 //!
-//! Each task contributes the log-likelihood ratio of its run time: how much more likely it
-//! is on a server four times slower than on one like the others. A task that still runs
-//! counts by its run time so far, so that a slow server is found before its tasks end. The
-//! ratio is large if the run times of the kind vary little, and small otherwise. It is
-//! bounded by the straggler fraction of the kind. Tasks of one job are alike, so only one
-//! of them counts against the runner.
+//! Each task contributes the log-likelihood ratio (LLR) of its run time: how much more
+//! likely the run time is on a server four times slower than on one like the others. A task
+//! that still runs counts by its run time so far, so that a slow server is found before its
+//! tasks end. The ratio is large if the run times of the kind vary little, and small
+//! otherwise. It is bounded by the straggler fraction of the kind. Tasks of one job are
+//! alike, so only one of them counts against the runner.
 
 use std::collections;
 
@@ -57,7 +57,7 @@
     ((is_exceeded(SLOW_SERVER_EXCESS) + by_chance) / (is_exceeded(0.0) + by_chance)).ln()
 }
 
-/// Returns whether a probe succeeded; `None` if its run time does not tell.
+/// Returns whether a probe succeeded; `None` if its run time is inconclusive.
 pub fn is_probe_successful(llr: f64) -> Option<bool> {
     match llr {
         llr if llr < 0.0 => Some(true),
--- a/src/membership/contacts.rs
+++ b/src/membership/contacts.rs
@@ -1,8 +1,8 @@
 //! Addresses to which a process sends its heartbeats.
 //!
-//! The list starts with the addresses from the settings, and the replies name further
-//! entries. An address that was only named is removed once it has been silent for long;
-//! an address from the settings is never removed.
+//! The list starts with the configured addresses, and the replies name further entries. An
+//! address that was only named is removed once it has been silent for long; a configured
+//! address is never removed.
 
 use std::collections;
 
@@ -42,7 +42,7 @@
 }
 
 impl Contacts {
-    /// Creates the list from the addresses in the settings, without the process's own.
+    /// Creates the list from the configured addresses, without the process's own.
     pub fn new(own: SmolStr, seeds: &[SmolStr]) -> Self {
         let contact = Contact {
             is_seed: true,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Removes addresses that are not from the settings and have been silent for `after_ms`.
+    /// Removes addresses that are not configured and have been silent for `after_ms`.
     pub fn remove_silent(&mut self, now_ms: u64, after_ms: u64) {
         self.by_address.retain(|_, contact| {
             contact.is_seed || contact.last_seen_ms.saturating_add(after_ms) > now_ms
--- a/src/runner/backend.rs
+++ b/src/runner/backend.rs
@@ -1,4 +1,4 @@
-//! Calls to the backend server, by its published protocol (`docs/WORKER.md`).
+//! Calls to the backend server by its published protocol (`docs/WORKER.md`).
 
 use std::time;
 
@@ -12,14 +12,14 @@
 use crate::runner::core;
 use crate::wire;
 
-/// Lease of a task at its worker: when this process dies, its tasks are stopped
-/// after so long.
+/// Length of a task's lease at the worker, which stops the task when the lease expires
+/// without renewal, for instance after this process has died.
 pub const LEASE_MS: u64 = 5_000;
 
-/// Largest answer taken from a backend server, in bytes.
+/// Maximum size of a response to a task, in bytes.
 const MAX_OUTPUT_BYTES: usize = 2 << 20;
 
-/// Longest wait for an answer to anything but a task.
+/// Time limit of all calls other than the one that runs a task.
 const CALL_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
 #[derive(Serialize)]
@@ -95,7 +95,7 @@
     }
 }
 
-/// Starts a task and waits for its end.
+/// Runs a task on the backend server and returns its end.
 pub async fn run(client: &awc::Client, backend: &str, dispatch: &wire::Dispatch) -> core::End {
     let wire::Resources {
         cpu_milli,
@@ -119,23 +119,23 @@
     let mut response = match sent {
         Ok(response) => response,
         Err(e) if outgoing::is_unsent(&e) => {
-            log::warn!(event = "backend.unreachable"; "{e}");
+            log::warn!(event = "backend.unreachable"; "task not sent to the backend server: {e}; returning it as not started");
             return core::End::Unreachable;
         }
-        Err(e) => return broken(&e.to_string()),
+        Err(e) => return backend_lost(&e.to_string()),
     };
     if !response.status().is_success() {
-        return broken(&response.status().to_string());
+        return backend_lost(&response.status().to_string());
     }
     match response.json::<Ended>().limit(MAX_OUTPUT_BYTES).await {
         Ok(ended) => ended.into(),
-        Err(e) => broken(&e.to_string()),
+        Err(e) => backend_lost(&e.to_string()),
     }
 }
 
-/// The order went out and no readable end came back.
-fn broken(why: &str) -> core::End {
-    log::warn!(event = "backend.broken"; "{why}");
+/// Returns the end of a task that was sent but brought no valid response.
+fn backend_lost(reason: &str) -> core::End {
+    log::warn!(event = "backend.broken"; "backend server gave no valid response to a task: {reason}; reporting the task as lost");
     core::End::Ended {
         code: codes::Code::BackendLost,
         output: String::new(),
@@ -143,16 +143,16 @@
     }
 }
 
-/// Stops a task.
+/// Requests the stop of a task.
 pub async fn stop(client: &awc::Client, backend: &str, attempt: ids::Attempt) {
     let url = format!("http://{backend}/v1/tasks/{attempt}/stop");
     let sent = tokio::time::timeout(CALL_TIMEOUT, client.post(url).send()).await;
     if !matches!(sent, Ok(Ok(_))) {
-        log::warn!(event = "backend.stop_failed", attempt:% = attempt; "no answer");
+        log::warn!(event = "backend.stop_failed", attempt:% = attempt; "stop request failed or was not answered within 2 s; the task may keep running");
     }
 }
 
-/// Renews the leases of what runs.
+/// Renews the leases of the running tasks.
 pub async fn renew(client: &awc::Client, backend: &str, attempts: &[ids::Attempt]) {
     let tasks = attempts
         .iter()
@@ -166,11 +166,11 @@
         .post(format!("http://{backend}/v1/leases"))
         .send_json(&renewal);
     if !matches!(tokio::time::timeout(CALL_TIMEOUT, sent).await, Ok(Ok(_))) {
-        log::warn!(event = "backend.renew_failed"; "no answer");
+        log::warn!(event = "backend.renew_failed"; "lease renewal failed or was not answered within 2 s; trying again at the next interval");
     }
 }
 
-/// What the worker reports of its usage; it lags.
+/// Reads the resource usage that the worker reports, which lags behind the actual usage.
 pub async fn usage(client: &awc::Client, backend: &str) -> Option<wire::Resources> {
     let exchange = async {
         let url = format!("http://{backend}/v1/usage");
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -1,4 +1,4 @@
-//! The control thread of a runner: one actor that owns all state.
+//! Control thread of a runner: one actor that owns all its state.
 
 use std::collections;
 use std::sync;
@@ -22,35 +22,35 @@
 use crate::streams;
 use crate::wire;
 
-/// How often time is looked at.
-const TICK: time::Duration = time::Duration::from_millis(20);
+/// Interval of the checks for expired times, missing evidence and missing contacts.
+const TICK_INTERVAL: time::Duration = time::Duration::from_millis(20);
 
-/// How often leases are renewed and usage is read: five tries a lease.
+/// Interval at which leases are renewed and usage is read: five attempts per lease.
 const LEASE_INTERVAL: time::Duration = time::Duration::from_secs(1);
 
-/// Greatest age of the permission on which a task's bytes go out.
-const START_CHECK_MS: u64 = 200;
+/// Maximum age of a permission to start when the task's bytes are sent.
+const MAX_PERMISSION_AGE_MS: u64 = 200;
 
 type Waiter = oneshot::Sender<wire::Outcome>;
 
-/// What the control thread is made of.
+/// Everything that the control thread is created from.
 #[derive(Debug)]
 pub struct Parts {
-    /// The runner itself.
+    /// Configuration of the runner.
     pub runner: core::Parts,
-    /// Entries to begin with.
+    /// Configured addresses of entries.
     pub entries: Vec<SmolStr>,
-    /// The log service.
+    /// Address of the log service.
     pub log: SmolStr,
-    /// The backend server.
+    /// Address of the backend server.
     pub backend: SmolStr,
-    /// The clock.
+    /// Monotonic clock.
     pub clock: clock::Clock,
-    /// The traffic threads.
+    /// Traffic threads, which make the outgoing calls.
     pub pool: sync::Arc<outgoing::Pool>,
 }
 
-/// The actor.
+/// Actor of the control thread.
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
@@ -61,7 +61,7 @@
     pub(super) is_reading_log: bool,
     pub(super) read_log_after_ms: u64,
     pub(super) search: announcements::Search,
-    pub(super) left_ms: Option<u64>,
+    pub(super) leave_started_ms: Option<u64>,
     pub(super) counts: Counts,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Control {
-    /// A runner that is not yet in touch with anyone and starts nothing.
+    /// Creates a runner that has contacted no process yet and starts no task.
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let me = &parts.runner.me;
@@ -92,7 +92,7 @@
             is_reading_log: false,
             read_log_after_ms: 0,
             search,
-            left_ms: None,
+            leave_started_ms: None,
             counts: Counts::default(),
         }
     }
@@ -101,7 +101,7 @@
         self.parts.clock.now_ms()
     }
 
-    pub(super) fn act(&mut self, cx: &actix::Context<Self>, actions: Vec<core::Action>) {
+    pub(super) fn execute(&mut self, cx: &actix::Context<Self>, actions: Vec<core::Action>) {
         for action in actions {
             match action {
                 core::Action::Start(dispatch) => self.start(cx, dispatch),
@@ -112,13 +112,11 @@
         }
     }
 
-    /// Hands the start to a traffic thread, which asks once more right before the
-    /// bytes go out.
+    /// Starts a task from a traffic thread, which asks for permission right before it sends.
     ///
-    /// A process frozen between the decision and the sending would start the task
-    /// when it is thawed, long after its availability zone was taken out. The
-    /// question is answered by the control thread from evidence that has aged in
-    /// the meantime.
+    /// Without the second check, a process suspended between the decision and the sending
+    /// would start the task when it is resumed, long after its availability zone was taken
+    /// out. The control thread answers from evidence that has aged in the meantime.
     fn start(&mut self, cx: &actix::Context<Self>, dispatch: wire::Dispatch) {
         self.counts.started += 1;
         let control = cx.address();
@@ -128,12 +126,12 @@
             let attempt = dispatch.attempt;
             let (submission, index) = (dispatch.submission.as_str(), dispatch.index);
             let end = if may_start_now(&control, clock, attempt).await {
-                log::info!(event = "task.start", attempt:% = attempt, submission = submission, index = index; "start");
+                log::info!(event = "task.start", attempt:% = attempt, submission = submission, index = index; "starting the task at the backend server");
                 backend::run(&client, &backend, &dispatch).await
             } else {
                 core::End::Unreachable
             };
-            log::info!(event = "task.end", attempt:% = attempt, submission = submission, index = index; "end");
+            log::info!(event = "task.end", attempt:% = attempt, submission = submission, index = index; "task ended or was not started");
             control.do_send(messages::TaskEnded { attempt, end });
         });
     }
@@ -151,7 +149,7 @@
         }
         for waiter in self.waiters.remove(&attempt).unwrap_or_default() {
             if waiter.send(outcome.clone()).is_err() {
-                log::debug!(event = "outcome.unheard", attempt:% = attempt; "entry gone");
+                log::debug!(event = "outcome.unheard", attempt:% = attempt; "request for the outcome was closed before the answer");
             }
         }
     }
@@ -159,7 +157,7 @@
     pub(super) fn settings_changed(&mut self, cx: &actix::Context<Self>) {
         let settings = sync::Arc::clone(self.keeper.state().settings());
         let actions = self.core.set_settings(settings);
-        self.act(cx, actions);
+        self.execute(cx, actions);
     }
 
     pub(super) fn timeouts(&self) -> crate::settings::Timeouts {
@@ -209,14 +207,16 @@
         cx.run_later(pause, Self::keep_sending_heartbeats);
     }
 
-    /// The log is read here only when the entries bring no evidence: at the size
-    /// of two years ahead it could not serve 28,000 readers all the time.
+    /// Reads the log if the entries bring no evidence.
+    ///
+    /// Runners do not follow the log, since it cannot serve 28,000 permanent readers, the
+    /// number of runners expected in two years.
     fn read_log_if_needed(&mut self, cx: &actix::Context<Self>) {
         let half_ms = u64::from(self.timeouts().fresh_ms) / 2;
         let now_ms = self.now_ms();
         let age_ms = self.core.freshness().age_ms(now_ms);
-        let is_early = self.is_reading_log || now_ms < self.read_log_after_ms;
-        if is_early || age_ms.is_some_and(|age| age < half_ms) {
+        let must_wait = self.is_reading_log || now_ms < self.read_log_after_ms;
+        if must_wait || age_ms.is_some_and(|age| age < half_ms) {
             return;
         }
         self.is_reading_log = true;
@@ -227,12 +227,12 @@
         streams::read_once(pool, clock, self.parts.log.clone(), position, done);
     }
 
-    /// Without a live contact the entries' announcements on the log are read.
-    fn search_entries_if_alone(&mut self, cx: &actix::Context<Self>) {
+    /// Reads the entries' announcements on the log if no contact answers.
+    fn search_entries_if_isolated(&mut self, cx: &actix::Context<Self>) {
         let now_ms = self.now_ms();
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
-        let is_alone = self.contacts.is_isolated(since_ms);
-        if !self.search.is_due(now_ms, is_alone) {
+        let has_no_contact = self.contacts.is_isolated(since_ms);
+        if !self.search.is_due(now_ms, has_no_contact) {
             return;
         }
         let done = cx.address().recipient();
@@ -249,15 +249,16 @@
                 backend::renew(&client, &backend, &attempts).await;
             }
             if let Some(used) = backend::usage(&client, &backend).await {
-                control.do_send(messages::Observed(used));
+                control.do_send(messages::UsageReport(used));
             }
         });
     }
 }
 
-/// Asks the control thread whether a task may still be started, and asks again where
-/// the answer was long in coming: a process frozen in between would act on an answer
-/// from before it slept.
+/// Asks the control thread whether a task may still be started.
+///
+/// Asks again if the answer took more than [`MAX_PERMISSION_AGE_MS`]: a process suspended in
+/// between would act on an answer from before its suspension.
 async fn may_start_now(
     control: &actix::Addr<Control>,
     clock: clock::Clock,
@@ -269,7 +270,7 @@
         if !may_start.unwrap_or(false) {
             return false;
         }
-        if clock.now_ms() - asked_ms <= START_CHECK_MS {
+        if clock.now_ms() - asked_ms <= MAX_PERMISSION_AGE_MS {
             return true;
         }
     }
@@ -279,33 +280,33 @@
     type Context = actix::Context<Self>;
 
     fn started(&mut self, cx: &mut Self::Context) {
-        cx.set_mailbox_capacity(MAILBOX);
-        cx.run_interval(TICK, |actor, cx| {
+        cx.set_mailbox_capacity(MAILBOX_CAPACITY);
+        cx.run_interval(TICK_INTERVAL, |actor, cx| {
             let now_ms = actor.now_ms();
             let actions = actor.core.tick(now_ms);
-            actor.act(cx, actions);
+            actor.execute(cx, actions);
             actor.read_log_if_needed(cx);
-            actor.search_entries_if_alone(cx);
+            actor.search_entries_if_isolated(cx);
         });
         cx.run_interval(LEASE_INTERVAL, |actor, cx| actor.renew_leases(cx));
         self.keep_sending_heartbeats(cx);
     }
 }
 
-/// Messages that may wait for the control thread.
-const MAILBOX: usize = 1_024;
+/// Maximum number of messages that wait for the control thread.
+const MAILBOX_CAPACITY: usize = 1_024;
 
-impl actix::Handler<messages::Dispatched> for Control {
+impl actix::Handler<messages::PeerDispatch> for Control {
     type Result = actix::ResponseActFuture<Self, Option<wire::DispatchReply>>;
 
-    fn handle(&mut self, message: messages::Dispatched, cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: messages::PeerDispatch, cx: &mut Self::Context) -> Self::Result {
         self.counts.dispatches += 1;
         let attempt = message.0.attempt;
         let (tx, rx) = oneshot::channel();
         self.waiters.entry(attempt).or_default().push(tx);
         let now_ms = self.now_ms();
         let actions = self.core.dispatch(now_ms, message.0);
-        self.act(cx, actions);
+        self.execute(cx, actions);
         let reply = actix::fut::wrap_future::<_, Self>(rx).map(move |outcome, actor, _cx| {
             let outcome = outcome.ok()?;
             let load = actor.core.load_for(attempt.owner);
@@ -320,24 +321,24 @@
     }
 }
 
-impl actix::Handler<messages::Fenced> for Control {
-    type Result = actix::MessageResult<messages::Fenced>;
+impl actix::Handler<messages::PeerFence> for Control {
+    type Result = actix::MessageResult<messages::PeerFence>;
 
-    fn handle(&mut self, message: messages::Fenced, cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: messages::PeerFence, cx: &mut Self::Context) -> Self::Result {
         self.counts.fences += 1;
         let now_ms = self.now_ms();
         let (outcomes, actions) = self.core.fence(now_ms, &message.0);
-        self.act(cx, actions);
-        let asker = message
+        self.execute(cx, actions);
+        let requester = message
             .0
             .attempts
             .first()
-            .map_or(ids::Incarnation(0), |one| one.owner);
+            .map_or(ids::Incarnation(0), |fenced| fenced.owner);
         actix::MessageResult(wire::FenceReply {
             version: wire::VERSION,
             incarnation: self.core.me().incarnation,
             outcomes,
-            load: self.core.load_for(asker),
+            load: self.core.load_for(requester),
         })
     }
 }
@@ -348,7 +349,7 @@
     fn handle(&mut self, message: messages::TaskEnded, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
         let actions = self.core.ended(now_ms, message.attempt, message.end);
-        self.act(cx, actions);
+        self.execute(cx, actions);
     }
 }
 
@@ -360,10 +361,10 @@
     }
 }
 
-impl actix::Handler<messages::Observed> for Control {
+impl actix::Handler<messages::UsageReport> for Control {
     type Result = ();
 
-    fn handle(&mut self, message: messages::Observed, _cx: &mut Self::Context) {
-        self.core.observe(message.0);
+    fn handle(&mut self, message: messages::UsageReport, _cx: &mut Self::Context) {
+        self.core.record_usage(message.0);
     }
 }
--- a/src/runner/core.rs
+++ b/src/runner/core.rs
@@ -1,4 +1,4 @@
-//! A runner's decisions, without network or clock: what to start, refuse, hand back.
+//! Decisions of a runner: which tasks to start, refuse or return. No network and no clock.
 
 use std::collections;
 use std::sync;
@@ -11,31 +11,31 @@
 use crate::starts;
 use crate::wire;
 
-/// What the runner's surroundings must do.
+/// Action for the caller of this module to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start this at the backend server, now.
+    /// Start the task at the backend server now.
     Start(wire::Dispatch),
-    /// Stop this at the backend server.
+    /// Stop the task at the backend server.
     Stop(ids::Attempt),
-    /// Tell all who wait for the attempt.
+    /// Send the outcome to all requests that wait for the attempt.
     Answer(ids::Attempt, wire::Outcome),
-    /// Send all entries a heartbeat now.
+    /// Send a heartbeat to all entries now.
     SendHeartbeats,
 }
 
 /// How a task ended at the backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// The connection could not be made: the task did not start.
+    /// No connection could be made, so the task did not start.
     Unreachable,
-    /// It ended.
+    /// The task ended, or its end is unknown and it counts as lost.
     Ended {
-        /// [`codes::Code::Complete`], or why it failed.
+        /// [`codes::Code::Complete`], or the reason of the failure.
         code: codes::Code,
-        /// What the backend server answered.
+        /// Output returned by the backend server.
         output: String,
-        /// The most it was seen to use.
+        /// Peak resource usage.
         peak: wire::Resources,
     },
 }
@@ -48,14 +48,14 @@
     stop_code: Option<codes::Code>,
 }
 
-/// What a runner is made of.
+/// Configuration of a runner.
 #[derive(Clone, Debug)]
 pub struct Parts {
-    /// Who it is.
+    /// Its name, incarnation, place and address.
     pub me: wire::Peer,
-    /// Its slots.
+    /// Number of tasks that it runs at a time.
     pub slots: u32,
-    /// Its worker's size.
+    /// Size of its worker.
     pub size: wire::Resources,
 }
 
@@ -66,117 +66,119 @@
     settings: sync::Arc<settings::Settings>,
     freshness: freshness::Freshness,
     ledger: starts::Ledger,
-    parked: wait_queue::WaitQueue,
+    wait_queue: wait_queue::WaitQueue,
     running: collections::HashMap<ids::Attempt, Running>,
-    used: wire::Resources,
-    observed: wire::Resources,
+    /// Declared resources of the running tasks.
+    reserved: wire::Resources,
+    /// Resource usage last reported by the worker.
+    reported: wire::Resources,
     is_leaving: bool,
     sequence: u64,
 }
 
 impl Core {
-    /// A runner that has heard nothing yet and so starts nothing.
+    /// Creates a runner without evidence of current settings, which starts no task yet.
     pub fn new(parts: Parts, settings: sync::Arc<settings::Settings>, now_ms: u64) -> Self {
         Self {
             parts,
             settings,
             freshness: freshness::Freshness::default(),
             ledger: starts::Ledger::new(now_ms),
-            parked: wait_queue::WaitQueue::default(),
+            wait_queue: wait_queue::WaitQueue::default(),
             running: collections::HashMap::new(),
-            used: wire::Resources::default(),
-            observed: wire::Resources::default(),
+            reserved: wire::Resources::default(),
+            reported: wire::Resources::default(),
             is_leaving: false,
             sequence: 0,
         }
     }
 
-    /// Who this is.
+    /// Name, incarnation, place and address of this runner.
     pub const fn me(&self) -> &wire::Peer {
         &self.parts.me
     }
 
-    /// What was heard of the settings' freshness.
+    /// Evidence that the settings are current, for modification.
     pub const fn freshness(&mut self) -> &mut freshness::Freshness {
         &mut self.freshness
     }
 
-    /// Whether tasks may be started on what was heard.
+    /// Returns whether the evidence is recent enough to start tasks.
     pub fn is_fresh(&self, now_ms: u64) -> bool {
         self.freshness
             .is_fresh(now_ms, self.settings.timeouts.fresh_ms.into())
     }
 
-    /// Whether the runner is stopping.
+    /// Returns whether the runner is stopping.
     pub const fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// How many tasks run.
+    /// Number of running tasks.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// How many dispatches wait for a slot.
+    /// Number of dispatches that wait for a slot.
     pub const fn waiting(&self) -> usize {
-        self.parked.len()
+        self.wait_queue.len()
     }
 
-    /// How many attempts are remembered.
+    /// Number of remembered attempts.
     pub fn remembered(&self) -> usize {
         self.ledger.len()
     }
 
-    /// The load to send to an entry, with a number that tells a later one from
-    /// an earlier.
+    /// Returns the load to report to an entry, with a sequence number by which the entry
+    /// recognizes the latest one.
     pub fn load_for(&mut self, entry: ids::Incarnation) -> wire::Load {
         self.sequence += 1;
         let running = self
             .running
             .iter()
             .filter(|(attempt, _)| attempt.owner == entry);
-        let mine_running = running.clone().count();
+        let running_count = running.clone().count();
         let mine_used = running.fold(wire::Resources::default(), |sum, (_, running)| {
             sum.plus(&running.resources)
         });
         wire::Load {
             slots: self.parts.slots,
-            busy: count(self.running.len()),
-            parked: count(self.parked.len()),
+            busy: saturating_u32(self.running.len()),
+            parked: saturating_u32(self.wait_queue.len()),
             size: self.parts.size,
-            used: self.used.max(self.observed),
-            mine: count(mine_running + self.parked.len_of(entry)),
+            used: self.reserved.max(self.reported),
+            mine: saturating_u32(running_count + self.wait_queue.len_of(entry)),
             mine_used,
             epoch: self.ledger.epoch(),
             sequence: self.sequence,
         }
     }
 
-    /// The worker's own report of what is in use; it lags.
-    pub const fn observe(&mut self, observed: wire::Resources) {
-        self.observed = observed;
+    /// Records the resource usage that the worker reports, which lags behind the actual usage.
+    pub const fn record_usage(&mut self, reported: wire::Resources) {
+        self.reported = reported;
     }
 
-    /// New settings are in force; a zone taken out hands back what waits.
+    /// Applies new settings; if they take the zone out, all waiting dispatches are returned.
     ///
-    /// Entries send nothing to a zone that comes back before its runners have shown that
-    /// they know; until the next heartbeat its slots would stand idle.
+    /// Entries send no tasks to a returning zone until its runners have reported the new
+    /// settings. Without a heartbeat at once its slots would stay idle until the next one.
     pub fn set_settings(&mut self, settings: sync::Arc<settings::Settings>) -> Vec<Action> {
-        let was_out = self.settings.is_zone_out(&self.parts.me.zone);
+        let was_zone_out = self.settings.is_zone_out(&self.parts.me.zone);
         self.settings = settings;
-        let is_back = was_out && !self.settings.is_zone_out(&self.parts.me.zone);
-        let mut actions = self.hand_back_if_closed();
-        actions.extend(is_back.then_some(Action::SendHeartbeats));
+        let is_zone_back = was_zone_out && !self.settings.is_zone_out(&self.parts.me.zone);
+        let mut actions = self.return_waiting_if_unavailable();
+        actions.extend(is_zone_back.then_some(Action::SendHeartbeats));
         actions
     }
 
-    /// The runner is to stop: nothing starts any more, what waits is handed back.
+    /// Begins to stop: starts no further task and returns all waiting dispatches.
     pub fn leave(&mut self) -> Vec<Action> {
         self.is_leaving = true;
-        self.hand_back_if_closed()
+        self.return_waiting_if_unavailable()
     }
 
-    /// An entry hands over a task.
+    /// Accepts or refuses a task from an entry.
     pub fn dispatch(&mut self, now_ms: u64, dispatch: wire::Dispatch) -> Vec<Action> {
         let attempt = dispatch.attempt;
         if dispatch.incarnation != self.parts.me.incarnation {
@@ -184,8 +186,8 @@
         }
         match self.ledger.admit(attempt, dispatch.epoch) {
             starts::Admission::Refused(code) => vec![not_started(attempt, code)],
-            starts::Admission::Known(entry) if entry.is_settled() => {
-                vec![Action::Answer(attempt, entry.outcome(now_ms))]
+            starts::Admission::Known(state) if state.is_settled() => {
+                vec![Action::Answer(attempt, state.outcome(now_ms))]
             }
             starts::Admission::Known(_) => Vec::new(),
             starts::Admission::New => self.accept(now_ms, dispatch),
@@ -193,15 +195,15 @@
     }
 
     fn accept(&mut self, now_ms: u64, dispatch: wire::Dispatch) -> Vec<Action> {
-        if let Some(code) = self.refusal(now_ms, &dispatch) {
-            return vec![self.settle_unstarted(dispatch.attempt, code)];
+        if let Some(code) = self.refusal_code(now_ms, &dispatch) {
+            return vec![self.settle_not_started(dispatch.attempt, code)];
         }
-        self.parked.push(dispatch, now_ms);
-        self.fill(now_ms)
+        self.wait_queue.push(dispatch, now_ms);
+        self.start_waiting(now_ms)
     }
 
-    fn refusal(&self, now_ms: u64, dispatch: &wire::Dispatch) -> Option<codes::Code> {
-        if let Some(code) = self.closed() {
+    fn refusal_code(&self, now_ms: u64, dispatch: &wire::Dispatch) -> Option<codes::Code> {
+        if let Some(code) = self.unavailable_code() {
             return Some(code);
         }
         if !self.is_fresh(now_ms) {
@@ -210,11 +212,11 @@
         if !dispatch.resources.fits_in(&self.parts.size) {
             return Some(codes::Code::NeverFits);
         }
-        let is_full = self.parked.len() >= self.parts.slots as usize;
+        let is_full = self.wait_queue.len() >= self.parts.slots as usize;
         is_full.then_some(codes::Code::RunnerFull)
     }
 
-    fn closed(&self) -> Option<codes::Code> {
+    fn unavailable_code(&self) -> Option<codes::Code> {
         if self.is_leaving {
             return Some(codes::Code::Leaving);
         }
@@ -222,35 +224,35 @@
         is_out.then_some(codes::Code::ZoneOut)
     }
 
-    fn hand_back_if_closed(&mut self) -> Vec<Action> {
-        let Some(code) = self.closed() else {
+    fn return_waiting_if_unavailable(&mut self) -> Vec<Action> {
+        let Some(code) = self.unavailable_code() else {
             return Vec::new();
         };
-        let out = self.parked.remove(|_| true);
-        out.iter()
-            .map(|dispatch| self.settle_unstarted(dispatch.attempt, code))
+        let returned = self.wait_queue.remove(|_| true);
+        returned
+            .iter()
+            .map(|dispatch| self.settle_not_started(dispatch.attempt, code))
             .collect()
     }
 
-    fn settle_unstarted(&mut self, attempt: ids::Attempt, code: codes::Code) -> Action {
+    fn settle_not_started(&mut self, attempt: ids::Attempt, code: codes::Code) -> Action {
         self.ledger.set(attempt, starts::AttemptState::Barred(code));
         not_started(attempt, code)
     }
 
-    /// Starts what waits while slots are free.
+    /// Starts waiting dispatches while slots are free.
     ///
-    /// This is the only place that starts anything. The freshness is looked at
-    /// here again: a runner that was frozen wakes up with tasks waiting, and the
-    /// settings may have changed while it slept.
-    fn fill(&mut self, now_ms: u64) -> Vec<Action> {
+    /// This is the only place that starts tasks. It checks again that the evidence is recent:
+    /// the settings may have changed while the process was suspended with tasks waiting.
+    fn start_waiting(&mut self, now_ms: u64) -> Vec<Action> {
         let mut actions = Vec::new();
-        if !self.is_fresh(now_ms) || self.closed().is_some() {
+        if !self.is_fresh(now_ms) || self.unavailable_code().is_some() {
             return actions;
         }
         while self.running.len() < self.parts.slots as usize {
-            let free = self.parts.size.minus(&self.used);
+            let free = self.parts.size.minus(&self.reserved);
             let is_idle = self.running.is_empty();
-            let Some(dispatch) = self.parked.pop(|need| is_idle || need.fits_in(&free)) else {
+            let Some(dispatch) = self.wait_queue.pop(|need| is_idle || need.fits_in(&free)) else {
                 break;
             };
             actions.push(self.start(now_ms, dispatch));
@@ -259,9 +261,9 @@
     }
 
     fn start(&mut self, now_ms: u64, dispatch: wire::Dispatch) -> Action {
-        let entry = starts::AttemptState::Running { since_ms: now_ms };
-        self.ledger.set(dispatch.attempt, entry);
-        self.used = self.used.plus(&dispatch.resources);
+        let state = starts::AttemptState::Running { since_ms: now_ms };
+        self.ledger.set(dispatch.attempt, state);
+        self.reserved = self.reserved.plus(&dispatch.resources);
         let running = Running {
             resources: dispatch.resources,
             since_ms: now_ms,
@@ -272,38 +274,44 @@
         Action::Start(dispatch)
     }
 
-    /// Whether a task whose start was decided may still be started.
+    /// Returns whether a task that was chosen to start may still be started.
     pub fn may_start(&self, now_ms: u64, attempt: ids::Attempt) -> bool {
         let Some(running) = self.running.get(&attempt) else {
             return false;
         };
-        running.stop_code.is_none() && self.is_fresh(now_ms) && self.closed().is_none()
+        running.stop_code.is_none() && self.is_fresh(now_ms) && self.unavailable_code().is_none()
     }
 
-    /// The backend server answered for a task, or could not be reached.
+    /// Records the end of a task at the backend server and starts waiting dispatches.
     pub fn ended(&mut self, now_ms: u64, attempt: ids::Attempt, end: End) -> Vec<Action> {
         let Some(running) = self.running.remove(&attempt) else {
             return Vec::new();
         };
-        self.used = self.used.minus(&running.resources);
-        let mut actions = vec![self.settle(now_ms, attempt, &running, end)];
-        actions.extend(self.fill(now_ms));
+        self.reserved = self.reserved.minus(&running.resources);
+        let mut actions = vec![self.settle_ended(now_ms, attempt, &running, end)];
+        actions.extend(self.start_waiting(now_ms));
         actions
     }
 
-    fn settle(&mut self, now: u64, attempt: ids::Attempt, running: &Running, end: End) -> Action {
+    fn settle_ended(
+        &mut self,
+        ended_ms: u64,
+        attempt: ids::Attempt,
+        running: &Running,
+        end: End,
+    ) -> Action {
         let End::Ended { code, output, peak } = end else {
-            return self.settle_unstarted(attempt, codes::Code::BackendUnreachable);
+            return self.settle_not_started(attempt, codes::Code::BackendUnreachable);
         };
-        // Stopped without being asked: the worker did it when the lease lapsed, as it
-        // does while this process stands still.
+        // A stop that this runner did not request means that the worker stopped the task when
+        // its lease expired, for instance while this process was suspended.
         let code = match (running.stop_code, code) {
             (_, codes::Code::Complete) => codes::Code::Complete,
-            (Some(stopped), _) => stopped,
+            (Some(requested), _) => requested,
             (None, codes::Code::Cancelled) => codes::Code::LeaseLapsed,
             (None, code) => code,
         };
-        let run_ms = now.saturating_sub(running.since_ms);
+        let run_ms = ended_ms.saturating_sub(running.since_ms);
         let outcome = wire::Outcome::Ended {
             code,
             output,
@@ -315,7 +323,10 @@
         Action::Answer(attempt, outcome)
     }
 
-    /// An entry asks about attempts, and may have the unstarted ones barred.
+    /// Returns the outcomes of attempts, and bars or stops them if the fence asks for it.
+    ///
+    /// The outcome is `None` for an attempt that is unknown and not barred, and for all
+    /// attempts if the fence is for another incarnation. A barred attempt never starts.
     pub fn fence(
         &mut self,
         now_ms: u64,
@@ -327,12 +338,12 @@
         let mut actions = Vec::new();
         let mut outcomes = Vec::new();
         for attempt in &fence.attempts {
-            outcomes.push(self.fence_one(now_ms, *attempt, fence, &mut actions));
+            outcomes.push(self.fence_attempt(now_ms, *attempt, fence, &mut actions));
         }
         (outcomes, actions)
     }
 
-    fn fence_one(
+    fn fence_attempt(
         &mut self,
         now_ms: u64,
         attempt: ids::Attempt,
@@ -342,15 +353,15 @@
         match self.ledger.get(attempt) {
             None if fence.bar => self.ledger.bar(attempt),
             Some(starts::AttemptState::Parked) if fence.bar => {
-                self.parked.remove_attempt(attempt);
-                actions.push(self.settle_unstarted(attempt, codes::Code::Fenced));
+                self.wait_queue.remove_attempt(attempt);
+                actions.push(self.settle_not_started(attempt, codes::Code::Fenced));
             }
             Some(starts::AttemptState::Running { .. }) if fence.stop => {
                 actions.extend(self.stop(attempt, codes::Code::Cancelled));
             }
             _ => {}
         }
-        self.ledger.get(attempt).map(|entry| entry.outcome(now_ms))
+        self.ledger.get(attempt).map(|state| state.outcome(now_ms))
     }
 
     fn stop(&mut self, attempt: ids::Attempt, code: codes::Code) -> Option<Action> {
@@ -362,30 +373,35 @@
         Some(Action::Stop(attempt))
     }
 
-    /// Time passes: limits, waits that are over, epochs, and slots that can be
-    /// filled because evidence came in.
+    /// Performs the periodic work.
+    ///
+    /// Advances the ledger's epochs, returns dispatches that waited too long, stops tasks at
+    /// their time limit, and starts waiting dispatches that new evidence permits.
     pub fn tick(&mut self, now_ms: u64) -> Vec<Action> {
         self.ledger
             .advance(now_ms, self.settings.timeouts.retain_ms.into());
-        let mut actions = self.hand_back_if_closed();
-        for dispatch in self.parked.remove(|parked| parked.until_ms <= now_ms) {
+        let mut actions = self.return_waiting_if_unavailable();
+        for dispatch in self.wait_queue.remove(|waiting| waiting.until_ms <= now_ms) {
             let code = codes::Code::WaitedTooLong;
-            actions.push(self.settle_unstarted(dispatch.attempt, code));
+            actions.push(self.settle_not_started(dispatch.attempt, code));
         }
         actions.extend(self.stop_overdue(now_ms));
-        actions.extend(self.fill(now_ms));
+        actions.extend(self.start_waiting(now_ms));
         actions
     }
 
     fn stop_overdue(&mut self, now_ms: u64) -> Vec<Action> {
-        let is_over = |running: &Running| running.limit_at_ms <= now_ms;
-        let overdue = self.running.iter().filter(|(_, running)| is_over(running));
+        let is_overdue = |running: &Running| running.limit_at_ms <= now_ms;
+        let overdue = self
+            .running
+            .iter()
+            .filter(|(_, running)| is_overdue(running));
         let overdue: Vec<_> = overdue.map(|(attempt, _)| *attempt).collect();
         let stop = |attempt| self.stop(attempt, codes::Code::TaskTimedOut);
         overdue.into_iter().filter_map(stop).collect()
     }
 
-    /// Attempts that run, for the renewal of their leases.
+    /// Returns the running attempts, for the renewal of their leases.
     pub fn running_attempts(&self) -> Vec<ids::Attempt> {
         self.running.keys().copied().collect()
     }
@@ -395,6 +411,6 @@
     Action::Answer(attempt, wire::Outcome::NotStarted { code })
 }
 
-fn count(len: usize) -> u32 {
+fn saturating_u32(len: usize) -> u32 {
     u32::try_from(len).unwrap_or(u32::MAX)
 }
--- a/src/runner/http.rs
+++ b/src/runner/http.rs
@@ -1,4 +1,4 @@
-//! What a runner serves, on one port: entries and operators.
+//! HTTP server of a runner; one port serves entries and operators.
 
 use actix_web::web;
 
@@ -9,19 +9,21 @@
 use crate::runner::messages;
 use crate::wire;
 
-/// Most attempts that one fence may name. Each unknown one that is barred takes
-/// room in the ledger, so a message of 8 MiB of them would fill it.
-pub const MAX_FENCED: usize = 10_000;
+/// Maximum number of attempts in one fence.
+///
+/// Barring an unknown attempt adds a record to the ledger, and a message of 8 MiB could name
+/// enough of them to fill it.
+pub const MAX_FENCED_ATTEMPTS: usize = 10_000;
 
-/// What the handlers share.
+/// State shared by the request handlers.
 #[derive(Clone, Debug)]
 pub struct Shared {
     /// The control thread.
     pub control: actix::Addr<control::Control>,
 }
 
-/// All pages.
-pub fn pages(cfg: &mut web::ServiceConfig) {
+/// Registers all routes.
+pub fn routes(cfg: &mut web::ServiceConfig) {
     incoming::numbered(cfg);
     cfg.route(wire::DISPATCH_PATH, web::post().to(dispatch));
     cfg.route(wire::FENCE_PATH, web::post().to(fence));
@@ -36,7 +38,7 @@
         Ok(dispatch) => dispatch,
         Err(refusal) => return refusal,
     };
-    match shared.control.send(messages::Dispatched(dispatch)).await {
+    match shared.control.send(messages::PeerDispatch(dispatch)).await {
         Ok(Some(reply)) => incoming::message(&reply),
         _ => incoming::refuse(codes::Code::Leaving),
     }
@@ -47,10 +49,10 @@
         Ok(fence) => fence,
         Err(refusal) => return refusal,
     };
-    if fence.attempts.len() > MAX_FENCED {
+    if fence.attempts.len() > MAX_FENCED_ATTEMPTS {
         return incoming::refuse(codes::Code::TooLarge);
     }
-    match shared.control.send(messages::Fenced(fence)).await {
+    match shared.control.send(messages::PeerFence(fence)).await {
         Ok(reply) => incoming::message(&reply),
         Err(_ended) => incoming::refuse(codes::Code::Leaving),
     }
@@ -64,7 +66,11 @@
     if let Err(code) = incoming::check_peer(&heartbeat.sender) {
         return incoming::refuse(code);
     }
-    match shared.control.send(messages::Heard(heartbeat)).await {
+    match shared
+        .control
+        .send(messages::PeerHeartbeat(heartbeat))
+        .await
+    {
         Ok(reply) => incoming::message(&reply),
         Err(_ended) => incoming::refuse(codes::Code::Leaving),
     }
--- a/src/runner/messages.rs
+++ b/src/runner/messages.rs
@@ -1,45 +1,45 @@
-//! What the traffic threads tell a runner's control thread, and what they ask.
+//! Messages from the traffic threads to a runner's control thread.
 
 use crate::ids;
 use crate::runner::core;
 use crate::wire;
 
-/// An entry hands over a task.
+/// A task that an entry sends to this runner.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Option<wire::DispatchReply>")]
-pub struct Dispatched(pub wire::Dispatch);
+pub struct PeerDispatch(pub wire::Dispatch);
 
-/// An entry asks about attempts.
+/// A request of an entry for the outcomes of attempts.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "wire::FenceReply")]
-pub struct Fenced(pub wire::Fence);
+pub struct PeerFence(pub wire::Fence);
 
-/// An entry asks for evidence.
+/// A heartbeat from another process.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "wire::HeartbeatReply")]
-pub struct Heard(pub wire::Heartbeat);
+pub struct PeerHeartbeat(pub wire::Heartbeat);
 
-/// A task ended at the backend server.
+/// Reports the end of a task at the backend server.
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
 pub struct TaskEnded {
-    /// Which.
+    /// The attempt.
     pub attempt: ids::Attempt,
-    /// How.
+    /// How it ended.
     pub end: core::End,
 }
 
-/// The worker reported its usage.
+/// Reports the resource usage read from the worker.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
-pub struct Observed(pub wire::Resources);
+pub struct UsageReport(pub wire::Resources);
 
-/// May this be started still? Asked right before the bytes go out.
+/// Asks whether an attempt may still be started, right before its bytes are sent.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "bool")]
--- a/src/runner/mod.rs
+++ b/src/runner/mod.rs
@@ -1,10 +1,10 @@
-//! The runner: the small process beside one backend server.
+//! The runner: the process beside one backend server, which starts tasks there.
 
 pub mod backend;
 pub mod control;
 pub mod core;
-mod hearing;
 pub mod http;
 pub mod messages;
-mod report;
+mod operator_requests;
+mod updates;
 pub mod wait_queue;
--- a/src/runner/report.rs
+++ b/src/runner/operator_requests.rs
@@ -1,4 +1,4 @@
-//! What a runner tells operators of itself, and how it is stopped.
+//! Handlers of requests from operators and peers: audit, status, metrics, settings and stop.
 
 use std::time;
 
@@ -9,8 +9,8 @@
 use crate::metrics;
 use crate::runner;
 
-/// Least time for which a stopping runner is there to say so.
-const LINGER_MS: u64 = 500;
+/// Minimum time for which a stopping runner keeps reporting that it is leaving.
+const MIN_LEAVE_MS: u64 = 500;
 
 impl actix::Handler<control::WantAudit> for runner::control::Control {
     type Result = actix::MessageResult<control::WantAudit>;
@@ -114,8 +114,8 @@
 
     fn handle(&mut self, _message: control::Leave, cx: &mut Self::Context) -> Self::Result {
         let actions = self.core.leave();
-        self.act(cx, actions);
-        self.left_ms = Some(self.now_ms());
+        self.execute(cx, actions);
+        self.leave_started_ms = Some(self.now_ms());
         self.send_heartbeats(cx);
         let drain_ms = self.timeouts().drain_ms;
         actix::MessageResult(time::Duration::from_millis(drain_ms.into()))
@@ -126,18 +126,19 @@
     type Result = bool;
 
     fn handle(&mut self, _message: control::IsDrained, _cx: &mut Self::Context) -> bool {
-        let lingered = self
-            .left_ms
-            .is_some_and(|left| left + LINGER_MS <= self.now_ms());
-        lingered && self.core.running() == 0 && self.core.waiting() == 0
+        let has_announced = self
+            .leave_started_ms
+            .is_some_and(|started_ms| started_ms + MIN_LEAVE_MS <= self.now_ms());
+        has_announced && self.core.running() == 0 && self.core.waiting() == 0
     }
 }
 
 impl actix::Handler<control::Abandon> for runner::control::Control {
     type Result = ();
 
-    /// What still runs is left to its lease; the entries find out by asking.
+    /// Leaves the running tasks until their leases expire; the entries find out when they
+    /// query the attempts.
     fn handle(&mut self, _message: control::Abandon, _cx: &mut Self::Context) {
-        log::warn!(event = "runner.abandon", running = self.core.running(); "stopping with tasks");
+        log::warn!(event = "runner.abandon", running = self.core.running(); "drain time is over; exiting while tasks run, whose leases will expire");
     }
 }
--- a/src/runner/hearing.rs
+++ b/src/runner/updates.rs
@@ -1,4 +1,4 @@
-//! What a runner hears: from entries, and from the log where they bring no evidence.
+//! Heartbeats and settings from entries, and from the log if the entries bring no evidence.
 
 use actix::AsyncContext as _;
 
@@ -10,21 +10,25 @@
 use crate::streams;
 use crate::wire;
 
-/// Least time between two reads of the log, so that an outage does not have every
-/// runner ask fifty times a second.
-const LOG_PAUSE_MS: u64 = 250;
+/// Minimum pause between two reads of the log. Without it every runner would read 50 times
+/// a second during an outage.
+const LOG_READ_PAUSE_MS: u64 = 250;
 
-impl actix::Handler<messages::Heard> for control::Control {
-    type Result = actix::MessageResult<messages::Heard>;
+impl actix::Handler<messages::PeerHeartbeat> for control::Control {
+    type Result = actix::MessageResult<messages::PeerHeartbeat>;
 
-    fn handle(&mut self, message: messages::Heard, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(
+        &mut self,
+        message: messages::PeerHeartbeat,
+        _cx: &mut Self::Context,
+    ) -> Self::Result {
         let now_ms = self.now_ms();
         if message.0.sender.role == wire::Role::Entry {
             self.contacts.add_peer(now_ms, &message.0.sender);
         }
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
         let live = self.contacts.live(since_ms).cloned().collect();
-        let named =
+        let list =
             entry_list::EntryList::new(self.core.me().incarnation, live, message.0.entries_held);
         actix::MessageResult(wire::HeartbeatReply {
             version: wire::VERSION,
@@ -32,8 +36,8 @@
             leaving: self.core.is_leaving(),
             revision: self.keeper.state().revision(),
             evidence: self.core.freshness().evidence(now_ms),
-            entries: named.entries,
-            entries_digest: named.digest,
+            entries: list.entries,
+            entries_digest: list.digest,
             slots: 0,
             tickets: None,
             bad_runners: Vec::new(),
@@ -59,7 +63,7 @@
             let pool = &self.parts.pool;
             heartbeats::fetch_settings(pool, message.address, position, done);
         }
-        // No evidence until the revision that it speaks of is in force here.
+        // Evidence of a later revision does not count until that revision is in force here.
         if is_behind {
             return;
         }
@@ -90,7 +94,7 @@
     fn handle(&mut self, message: streams::LogRead, cx: &mut Self::Context) -> u64 {
         self.is_reading_log = false;
         let now_ms = self.now_ms();
-        self.read_log_after_ms = now_ms + LOG_PAUSE_MS;
+        self.read_log_after_ms = now_ms + LOG_READ_PAUSE_MS;
         if let Some(batch) = message.batch {
             let taken = self.keeper.take_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
--- a/tests/unit/runner.rs
+++ b/tests/unit/runner.rs
@@ -1,4 +1,4 @@
-//! What a runner makes of the ends that its backend server reports.
+//! Outcomes that a runner reports for stopped tasks, and its heartbeat when its zone returns.
 
 use std::sync;
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// A runner on which the attempt runs.
-fn running() -> core::Core {
+/// Returns a runner on which the attempt runs.
+fn runner_with_running_task() -> core::Core {
     let parts = core::Parts {
         me: peer(),
         slots: 1,
@@ -73,11 +73,11 @@
     }
 }
 
-// A runner stands still for longer than its tasks' leases, and the worker stops them. The
-// caller, who cancelled nothing, must not be told that the job was cancelled.
+// A runner is suspended for longer than the leases of its tasks, so the worker stops them.
+// Callers that cancelled nothing must not receive the code for a cancelled job.
 #[test]
-fn task_stopped_without_being_asked_had_its_lease_lapse() {
-    let mut runner = running();
+fn task_stopped_without_a_request_reports_a_lapsed_lease() {
+    let mut runner = runner_with_running_task();
 
     let actions = runner.ended(NOW_MS + 6_000, ATTEMPT, stopped());
 
@@ -85,8 +85,8 @@
 }
 
 #[test]
-fn task_stopped_for_its_entry_was_cancelled() {
-    let mut runner = running();
+fn task_stopped_by_a_fence_reports_cancellation() {
+    let mut runner = runner_with_running_task();
     let fence = wire::Fence {
         version: wire::VERSION,
         incarnation: ids::Incarnation(1),
@@ -95,34 +95,34 @@
         stop: true,
     };
 
-    let (_, told) = runner.fence(NOW_MS, &fence);
+    let (_, fence_actions) = runner.fence(NOW_MS, &fence);
     let actions = runner.ended(NOW_MS + 10, ATTEMPT, stopped());
 
-    assert_eq!(told, vec![core::Action::Stop(ATTEMPT)]);
+    assert_eq!(fence_actions, vec![core::Action::Stop(ATTEMPT)]);
     assert_eq!(code_of(&actions), Some(codes::Code::Cancelled));
 }
 
 fn zones_out(zones: &[&str]) -> sync::Arc<settings::Settings> {
     let mut settings = settings::Settings::default();
     for zone in zones {
-        let out = settings::Zone { out: true };
-        settings.zones.insert((*zone).into(), out);
+        let zone_out = settings::Zone { out: true };
+        settings.zones.insert((*zone).into(), zone_out);
     }
     sync::Arc::new(settings)
 }
 
-// A zone comes back under load. The entries send nothing to its runners before these have
-// shown that they know, so each says so at once and not with its next heartbeat.
+// A zone returns to service under load. Entries send no tasks to its runners until these have
+// reported the new settings, so its slots would stay idle until the next heartbeat.
 #[rstest]
-#[case::comes_back(&["caxias"], &[], true)]
-#[case::stays_out(&["caxias"], &["caxias"], false)]
-#[case::stays_in(&[], &[], false)]
-#[case::goes_out(&[], &["caxias"], false)]
-#[case::another_zone_comes_back(&["bento"], &[], false)]
-fn runner_tells_at_once_that_its_zone_is_back(
+#[case::zone_returns(&["caxias"], &[], true)]
+#[case::zone_stays_out(&["caxias"], &["caxias"], false)]
+#[case::zone_stays_in(&[], &[], false)]
+#[case::zone_goes_out(&[], &["caxias"], false)]
+#[case::another_zone_returns(&["bento"], &[], false)]
+fn runner_sends_heartbeats_at_once_when_its_zone_returns(
     #[case] before: &[&str],
     #[case] after: &[&str],
-    #[case] tells: bool,
+    #[case] sends: bool,
 ) {
     let parts = core::Parts {
         me: peer(),
@@ -133,5 +133,5 @@
 
     let actions = runner.set_settings(zones_out(after));
 
-    assert_eq!(actions.contains(&core::Action::SendHeartbeats), tells);
+    assert_eq!(actions.contains(&core::Action::SendHeartbeats), sends);
 }
--- a/tests/unit/stops/runner.rs
+++ b/tests/unit/stops/runner.rs
@@ -1,4 +1,4 @@
-//! A runner that is told to stop.
+//! A runner that is asked to stop.
 
 use std::collections;
 
@@ -17,23 +17,23 @@
 use crate::settings::fixtures;
 use crate::stops;
 
-/// What happens to a runner.
+/// Event at a runner.
 #[derive(Clone, Copy, Debug)]
 enum RunnerStep {
-    /// An entry hands over the next task, or one that it handed over before.
+    /// An entry sends the next task, or repeats an earlier one.
     Dispatch {
-        again: Option<usize>,
+        repeated: Option<usize>,
     },
-    /// One of those that run ends at the backend server.
+    /// A running task, chosen by its index, ends at the backend server.
     End(usize),
     Tick,
     Leave,
 }
 
 fn runner_steps() -> impl Strategy<Value = Vec<RunnerStep>> {
-    let again = proptest::option::weighted(0.2, 0_usize..20);
+    let repeated = proptest::option::weighted(0.2, 0_usize..20);
     let step = prop_oneof![
-        8 => again.prop_map(|again| RunnerStep::Dispatch { again }),
+        8 => repeated.prop_map(|repeated| RunnerStep::Dispatch { repeated }),
         6 => (0_usize..stops::SLOTS).prop_map(RunnerStep::End),
         4 => Just(RunnerStep::Tick),
         1 => Just(RunnerStep::Leave),
@@ -67,85 +67,87 @@
     }
 }
 
-/// What a runner may say or do, in the words of the naive list.
+/// Action of a runner in the terms of the reference model.
 #[derive(Clone, Debug, PartialEq)]
-enum Said {
-    Starts(usize),
-    Answers(usize, codes::Code),
+enum ModelAction {
+    Started(usize),
+    Answered(usize, codes::Code),
 }
 
-fn said(action: &runner::core::Action) -> Said {
-    let number = |attempt: ids::Attempt| usize::try_from(attempt.number).expect("few");
+fn model_action(action: &runner::core::Action) -> ModelAction {
+    let number =
+        |attempt: ids::Attempt| usize::try_from(attempt.number).expect("the number fits in usize");
     match action {
-        runner::core::Action::Start(dispatch) => Said::Starts(number(dispatch.attempt)),
-        runner::core::Action::Stop(attempt) => unreachable!("{attempt} is stopped"),
-        runner::core::Action::SendHeartbeats => unreachable!("no zone comes back"),
+        runner::core::Action::Start(dispatch) => ModelAction::Started(number(dispatch.attempt)),
+        runner::core::Action::Stop(attempt) => unreachable!("unexpected stop of {attempt}"),
+        runner::core::Action::SendHeartbeats => unreachable!("unexpected heartbeats"),
         runner::core::Action::Answer(attempt, outcome) => match outcome {
             wire::Outcome::NotStarted { code } | wire::Outcome::Ended { code, .. } => {
-                Said::Answers(number(*attempt), *code)
+                ModelAction::Answered(number(*attempt), *code)
             }
-            outcome => unreachable!("{outcome:?} is no end"),
+            outcome => unreachable!("outcome is not final: {outcome:?}"),
         },
     }
 }
 
-/// A runner as three plain lists.
+/// Reference model of a runner: lists of waiting, running and answered tasks.
 #[derive(Default)]
-struct NaiveRunner {
-    waiting: collections::VecDeque<usize>,
+struct RunnerModel {
+    queued: collections::VecDeque<usize>,
     running: Vec<usize>,
     answered: collections::BTreeMap<usize, codes::Code>,
     is_leaving: bool,
 }
 
-impl NaiveRunner {
-    fn answer(&mut self, number: usize, code: codes::Code) -> Said {
+impl RunnerModel {
+    fn answer(&mut self, number: usize, code: codes::Code) -> ModelAction {
         self.answered.insert(number, code);
-        Said::Answers(number, code)
+        ModelAction::Answered(number, code)
     }
 
-    fn fill(&mut self) -> Vec<Said> {
-        let mut said = Vec::new();
+    fn start_queued(&mut self) -> Vec<ModelAction> {
+        let mut model_actions = Vec::new();
         while self.running.len() < stops::SLOTS && !self.is_leaving {
-            let Some(number) = self.waiting.pop_front() else {
+            let Some(number) = self.queued.pop_front() else {
                 break;
             };
             self.running.push(number);
-            said.push(Said::Starts(number));
+            model_actions.push(ModelAction::Started(number));
         }
-        said
+        model_actions
     }
 
-    fn dispatch(&mut self, number: usize) -> Vec<Said> {
+    fn dispatch(&mut self, number: usize) -> Vec<ModelAction> {
         if let Some(code) = self.answered.get(&number) {
-            return vec![Said::Answers(number, *code)];
+            return vec![ModelAction::Answered(number, *code)];
         }
-        if self.waiting.contains(&number) || self.running.contains(&number) {
+        if self.queued.contains(&number) || self.running.contains(&number) {
             return Vec::new();
         }
         if self.is_leaving {
             return vec![self.answer(number, codes::Code::Leaving)];
         }
-        if self.waiting.len() >= stops::SLOTS {
+        if self.queued.len() >= stops::SLOTS {
             return vec![self.answer(number, codes::Code::RunnerFull)];
         }
-        self.waiting.push_back(number);
-        self.fill()
+        self.queued.push_back(number);
+        self.start_queued()
     }
 
-    fn end(&mut self, at: usize) -> Option<(usize, Vec<Said>)> {
+    fn end(&mut self, at: usize) -> Option<(usize, Vec<ModelAction>)> {
         (at < self.running.len()).then(|| {
             let number = self.running.remove(at);
-            let mut said = vec![self.answer(number, codes::Code::Complete)];
-            said.extend(self.fill());
-            (number, said)
+            let mut model_actions = vec![self.answer(number, codes::Code::Complete)];
+            model_actions.extend(self.start_queued());
+            (number, model_actions)
         })
     }
 
-    fn leave(&mut self) -> Vec<Said> {
+    fn leave(&mut self) -> Vec<ModelAction> {
         self.is_leaving = true;
-        let out = std::mem::take(&mut self.waiting);
-        out.into_iter()
+        let returned = std::mem::take(&mut self.queued);
+        returned
+            .into_iter()
             .map(|number| self.answer(number, codes::Code::Leaving))
             .collect()
     }
@@ -162,23 +164,23 @@
 
 fn run_runner(steps: &[RunnerStep]) -> Result<(), TestCaseError> {
     let mut core = runner_core();
-    let mut naive = NaiveRunner::default();
+    let mut model = RunnerModel::default();
     let (mut now_ms, mut next) = (0, 0);
     for step in steps {
         now_ms += stops::TICK_MS;
         core.freshness().hear_log(now_ms);
         let (actions, expected) = match *step {
-            RunnerStep::Dispatch { again } => {
-                let number = again.filter(|number| *number < next).unwrap_or(next);
+            RunnerStep::Dispatch { repeated } => {
+                let number = repeated.filter(|number| *number < next).unwrap_or(next);
                 next = next.max(number + 1);
                 let actions = core.dispatch(now_ms, dispatch(number));
-                (actions, naive.dispatch(number))
+                (actions, model.dispatch(number))
             }
             RunnerStep::End(at) => {
-                let Some((number, expected)) = naive.end(at) else {
+                let Some((number, expected)) = model.end(at) else {
                     continue;
                 };
-                prop_assert!(core.may_start(now_ms, attempt(number)) != naive.is_leaving);
+                prop_assert!(core.may_start(now_ms, attempt(number)) != model.is_leaving);
                 let end = runner::core::End::Ended {
                     code: codes::Code::Complete,
                     output: String::new(),
@@ -187,21 +189,21 @@
                 (core.ended(now_ms, attempt(number), end), expected)
             }
             RunnerStep::Tick => (core.tick(now_ms), Vec::new()),
-            RunnerStep::Leave => (core.leave(), naive.leave()),
+            RunnerStep::Leave => (core.leave(), model.leave()),
         };
-        let actions: Vec<_> = actions.iter().map(said).collect();
+        let actions: Vec<_> = actions.iter().map(model_action).collect();
         prop_assert_eq!(actions, expected);
-        prop_assert_eq!(core.running(), naive.running.len());
-        prop_assert_eq!(core.waiting(), naive.waiting.len());
+        prop_assert_eq!(core.running(), model.running.len());
+        prop_assert_eq!(core.waiting(), model.queued.len());
     }
     Ok(())
 }
 
-// A runner is told to stop at any moment, with tasks that run and others that wait there,
-// while entries hand over more, some a second time. What runs goes on to its own end and is
-// answered, what waits is handed back at once as not run, and nothing starts any more.
+// A runner is asked to stop while tasks run and wait, and entries go on sending tasks, some of
+// them twice. Running tasks must end normally and be answered, waiting ones must be returned at
+// once as not started, and no further task may start.
 #[test]
-fn stopping_runner_equals_three_naive_lists() {
+fn stopping_runner_matches_the_reference_model() {
     let mut cases = fixtures::fixed_runner(stops::CASES);
 
     let verdict = cases.run(&runner_steps(), |steps| run_runner(&steps));
