--- a/measure/src/sim/world.rs
+++ b/measure/src/sim/world.rs
@@ -335,7 +335,7 @@
             if self.frozen[index] {
                 continue;
             }
-            self.runners[index].freshness().hear_log(now_ms);
+            self.runners[index].freshness().record_log_read(now_ms);
             self.tell_entries(index);
         }
         self.entry_heartbeats(now_ms);
--- a/measure/src/slopes/fixtures.rs
+++ b/measure/src/slopes/fixtures.rs
@@ -112,7 +112,7 @@
         size: load(0, 0).size,
     };
     let mut core = runner::Core::new(parts, settings(TEAMS), NOW_MS);
-    core.freshness().hear_log(NOW_MS);
+    core.freshness().record_log_read(NOW_MS);
     core
 }
 
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -368,7 +368,7 @@
         }
         let is_foreign = reply.sender.zone != self.me.zone;
         self.freshness
-            .hear_process(asked_ms, is_foreign, reply.evidence);
+            .record_reply(asked_ms, is_foreign, reply.evidence);
         false
     }
 
--- a/src/entry/hearing.rs
+++ b/src/entry/hearing.rs
@@ -28,7 +28,7 @@
     /// An entry that started while the log was down has defaults only, which know no
     /// team and no zone that is out; until it has heard better, calls are refused.
     pub(super) fn publish(&mut self) {
-        if !self.core.freshness().has_heard() {
+        if !self.core.freshness().has_evidence() {
             return;
         }
         let settings = sync::Arc::clone(self.keeper.state().settings());
@@ -163,7 +163,7 @@
         if let Some(batch) = message.batch {
             let taken = self.keeper.take_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
-                self.core.freshness().hear_log(message.asked_ms);
+                self.core.freshness().record_log_read(message.asked_ms);
             }
             if taken.is_changed {
                 self.settings_changed(cx);
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -21,7 +21,7 @@
             zone: self.me.zone.clone(),
             leaving: self.is_leaving,
             revision: self.revision,
-            has_settings: self.freshness.has_heard(),
+            has_settings: self.freshness.has_evidence(),
             log_age_ms: self.freshness.evidence(now_ms).log_age_ms,
             fresh: self.freshness.is_fresh(now_ms, fresh_ms),
             zones_out: self.settings.zones_out(),
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -20,7 +20,7 @@
 
 impl Freshness {
     /// The log was read to its end by a question sent at `asked_ms`.
-    pub fn hear_log(&mut self, asked_ms: u64) {
+    pub fn record_log_read(&mut self, asked_ms: u64) {
         self.log_at_ms = self.log_at_ms.max(Some(asked_ms));
     }
 
@@ -29,7 +29,7 @@
     /// A process without any evidence has never had settings: it started while the
     /// log was down. Were its answer to count, all processes replaced at once would
     /// assure each other of default settings and start work in zones that are out.
-    pub fn hear_process(&mut self, asked_ms: u64, is_foreign: bool, evidence: wire::Evidence) {
+    pub fn record_reply(&mut self, asked_ms: u64, is_foreign: bool, evidence: wire::Evidence) {
         if evidence.log_age_ms.is_none() && evidence.foreign_age_ms.is_none() {
             return;
         }
@@ -44,7 +44,7 @@
     }
 
     /// Whether there ever was evidence, so that the settings are not mere defaults.
-    pub const fn has_heard(&self) -> bool {
+    pub const fn has_evidence(&self) -> bool {
         self.log_at_ms.is_some() || self.foreign_at_ms.is_some()
     }
 
--- a/src/runner/hearing.rs
+++ b/src/runner/hearing.rs
@@ -67,7 +67,7 @@
         let evidence = reply.evidence;
         self.core
             .freshness()
-            .hear_process(message.asked_ms, is_foreign, evidence);
+            .record_reply(message.asked_ms, is_foreign, evidence);
     }
 }
 
@@ -94,7 +94,7 @@
         if let Some(batch) = message.batch {
             let taken = self.keeper.take_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
-                self.core.freshness().hear_log(message.asked_ms);
+                self.core.freshness().record_log_read(message.asked_ms);
             }
             if taken.is_changed {
                 self.settings_changed(cx);
--- a/src/runner/report.rs
+++ b/src/runner/report.rs
@@ -34,7 +34,7 @@
             zone: me.zone,
             leaving: self.core.is_leaving(),
             revision: self.keeper.state().revision(),
-            has_settings: self.core.freshness().has_heard(),
+            has_settings: self.core.freshness().has_evidence(),
             log_age_ms: evidence.log_age_ms,
             fresh: self.core.is_fresh(now_ms),
             zones_out: self.keeper.state().settings().zones_out(),
--- a/tests/unit/dispatching/world.rs
+++ b/tests/unit/dispatching/world.rs
@@ -496,7 +496,7 @@
             return;
         }
         let core = &mut self.runners[at].core;
-        core.freshness().hear_log(now_ms);
+        core.freshness().record_log_read(now_ms);
         let actions = core.tick(now_ms);
         self.act_for_runner(at, actions);
         for entry in 0..self.entries.len() {
--- a/tests/unit/freshness.rs
+++ b/tests/unit/freshness.rs
@@ -200,12 +200,14 @@
         let asked_ms = local(index, asked_ms);
         let is_behind = reply.revision > process.revision;
         match reply.from {
-            None if reply.revision >= process.revision => process.freshness.hear_log(asked_ms),
+            None if reply.revision >= process.revision => {
+                process.freshness.record_log_read(asked_ms)
+            }
             Some((from, evidence)) if !is_behind => {
                 let is_foreign = zone(from) != zone(index);
                 process
                     .freshness
-                    .hear_process(asked_ms, is_foreign, evidence);
+                    .record_reply(asked_ms, is_foreign, evidence);
             }
             None | Some(_) => {}
         }
@@ -220,7 +222,7 @@
             if process.frozen_until_ms > now_ms {
                 continue;
             }
-            if process.freshness.has_heard() {
+            if process.freshness.has_evidence() {
                 assert!(process.heard[LOG].is_some(), "settings out of nothing");
             }
             if !process.freshness.is_fresh(local(index, now_ms), BOUND_MS) {
@@ -267,7 +269,7 @@
 fn evidence_of_another_zone_lasts_from_the_question_on(#[case] now_ms: u64, #[case] fresh: bool) {
     let mut freshness = freshness::Freshness::default();
 
-    freshness.hear_process(5_000, true, KNOWS);
+    freshness.record_reply(5_000, true, KNOWS);
 
     assert_eq!(freshness.is_fresh(now_ms, BOUND_MS), fresh);
 }
@@ -276,7 +278,7 @@
 fn evidence_of_the_same_zone_ages_on_its_way() {
     let mut freshness = freshness::Freshness::default();
 
-    freshness.hear_process(5_000, false, KNOWS);
+    freshness.record_reply(5_000, false, KNOWS);
 
     assert!(freshness.is_fresh(4_900 + BOUND_MS, BOUND_MS));
     assert!(!freshness.is_fresh(4_901 + BOUND_MS, BOUND_MS));
@@ -289,8 +291,8 @@
 fn process_without_settings_is_no_evidence() {
     let mut freshness = freshness::Freshness::default();
 
-    freshness.hear_process(5_000, true, wire::Evidence::default());
+    freshness.record_reply(5_000, true, wire::Evidence::default());
 
-    assert!(!freshness.has_heard());
+    assert!(!freshness.has_evidence());
     assert!(!freshness.is_fresh(5_000, BOUND_MS));
 }
--- a/tests/unit/runner.rs
+++ b/tests/unit/runner.rs
@@ -36,7 +36,7 @@
     };
     let settings = sync::Arc::new(settings::Settings::default());
     let mut runner = core::Core::new(parts, settings, NOW_MS);
-    runner.freshness().hear_log(NOW_MS);
+    runner.freshness().record_log_read(NOW_MS);
     let dispatch = wire::Dispatch {
         version: wire::VERSION,
         attempt: ATTEMPT,
--- a/tests/unit/stops/runner.rs
+++ b/tests/unit/stops/runner.rs
@@ -166,7 +166,7 @@
     let (mut now_ms, mut next) = (0, 0);
     for step in steps {
         now_ms += stops::TICK_MS;
-        core.freshness().hear_log(now_ms);
+        core.freshness().record_log_read(now_ms);
         let (actions, expected) = match *step {
             RunnerStep::Dispatch { again } => {
                 let number = again.filter(|number| *number < next).unwrap_or(next);
