--- a/src/audit/event.rs
+++ b/src/audit/event.rs
@@ -207,6 +207,6 @@
         entries,
     };
     let mut reader = reader::Reader::new(state::State::new(), 0);
-    let taken = reader.take(0, batch);
+    let taken = reader.apply_batch(0, batch);
     taken.applied.iter().filter_map(Event::of_record).collect()
 }
--- a/src/client/follow.rs
+++ b/src/client/follow.rs
@@ -53,11 +53,11 @@
         let mut applied = Vec::new();
         loop {
             applied.extend(follower.next(time::Duration::ZERO).await?);
-            match follower.reader.standing() {
-                reader::Standing::AtEnd => return Ok((follower, applied)),
-                reader::Standing::Behind => {}
-                reader::Standing::Lacking => follower.ask_entries(http, entries).await?,
-                reader::Standing::Stale => return Err(follower.log.bad("its end went back")),
+            match follower.reader.status() {
+                reader::ReadStatus::AtEnd => return Ok((follower, applied)),
+                reader::ReadStatus::Behind => {}
+                reader::ReadStatus::MissingRecords => follower.ask_entries(http, entries).await?,
+                reader::ReadStatus::Stale => return Err(follower.log.bad("its end went back")),
             }
         }
     }
@@ -70,7 +70,7 @@
         let (state, _why) = state_of_any(http, entries).await;
         let checkpoint = state.map(|state| state.checkpoint(""));
         let adopted = checkpoint.is_some_and(|found| self.reader.adopt(&found).is_ok());
-        if adopted && self.reader.standing() == reader::Standing::Behind {
+        if adopted && self.reader.status() == reader::ReadStatus::Behind {
             return Ok(());
         }
         let why = "old records have expired, and neither a checkpoint nor an entry covers them";
@@ -89,7 +89,7 @@
 
     /// Whether records expired before they were read.
     pub fn is_lacking(&self) -> bool {
-        self.reader.standing() == reader::Standing::Lacking
+        self.reader.status() == reader::ReadStatus::MissingRecords
     }
 
     /// Reads on, waiting up to `wait` for a record.
@@ -98,7 +98,7 @@
         wait: time::Duration,
     ) -> Result<Vec<reader::Applied>, client::ClientError> {
         let page = self.log.read(self.reader.read_from(), wait).await?;
-        Ok(self.reader.take(NO_CLOCK_MS, page.into()).applied)
+        Ok(self.reader.apply_batch(NO_CLOCK_MS, page.into()).applied)
     }
 }
 
--- a/src/keeper.rs
+++ b/src/keeper.rs
@@ -71,7 +71,7 @@
 
     /// Whether records expired before they were read, so that only a peer can help.
     pub fn is_lacking(&self) -> bool {
-        self.reader.standing() == reader::Standing::Lacking
+        self.reader.status() == reader::ReadStatus::MissingRecords
     }
 
     /// One page of the audit trail.
@@ -82,8 +82,8 @@
     /// Takes in what was read from the log.
     pub fn take_batch(&mut self, now_ms: u64, unix_ms: u64, batch: reader::Batch) -> Taken {
         let before = self.state().revision();
-        let taken = self.reader.take(now_ms, batch);
-        if taken.standing == reader::Standing::Lacking {
+        let taken = self.reader.apply_batch(now_ms, batch);
+        if taken.status == reader::ReadStatus::MissingRecords {
             log::warn!(event = "settings.lacking", position = self.state().position(); "records expired unread; asking peers");
         }
         for applied in taken.applied {
@@ -91,7 +91,7 @@
         }
         Taken {
             is_changed: self.came_into_force(before, unix_ms),
-            is_at_end: taken.standing == reader::Standing::AtEnd,
+            is_at_end: taken.status == reader::ReadStatus::AtEnd,
         }
     }
 
@@ -104,7 +104,7 @@
         if !self.reader.checkpoint_due(now_ms, jitter_ms) {
             return None;
         }
-        self.reader.checkpoint_tried(now_ms);
+        self.reader.checkpoint_attempted(now_ms);
         let checkpoint = self.state().checkpoint(&self.process);
         Some(settings::Record::Checkpoint(checkpoint))
     }
@@ -183,7 +183,7 @@
         let offset = one.offset;
         let Some(text) = one.record else {
             if offset == self.state().position() {
-                self.reader.take_passed_on(now_ms, offset, None);
+                self.reader.apply_forwarded(now_ms, offset, None);
                 self.remember(wire::LoggedRecord {
                     offset,
                     record: None,
@@ -195,7 +195,7 @@
             log::warn!(event = "settings.peer_refused", offset = offset; "not JSON");
             return false;
         };
-        if let Some(applied) = self.reader.take_passed_on(now_ms, offset, Some(document)) {
+        if let Some(applied) = self.reader.apply_forwarded(now_ms, offset, Some(document)) {
             self.note(applied);
         }
         true
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -62,14 +62,14 @@
 
 /// Where the reader stands after a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum ReadStatus {
     /// Every record up to the log's end is applied: this is evidence of freshness.
     AtEnd,
     /// There are more records to read.
     Behind,
     /// Records expired before they were read, and no checkpoint on the log bridges
     /// them: ask the peers.
-    Lacking,
+    MissingRecords,
     /// The answer's end lies below what was applied before: a late answer, or a log
     /// that lost records. Nothing was applied and nothing is taken back.
     Stale,
@@ -77,11 +77,11 @@
 
 /// What a batch came to.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct BatchOutcome {
     /// The records that had their turn, in order.
     pub applied: Vec<Applied>,
     /// Where the reader stands now.
-    pub standing: Standing,
+    pub status: ReadStatus,
 }
 
 /// The latest checkpoint seen on the log.
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug)]
 pub struct Reader {
     state: state::State,
-    standing: Standing,
+    status: ReadStatus,
     /// Next offset at which to look for a checkpoint, while records are missing.
     search: Option<u64>,
     /// Oldest kept offset, as far as known.
@@ -117,7 +117,7 @@
     pub const fn new(state: state::State, now_ms: u64) -> Self {
         Self {
             state,
-            standing: Standing::Behind,
+            status: ReadStatus::Behind,
             search: None,
             front: 0,
             mark: None,
@@ -135,8 +135,8 @@
     }
 
     /// Where the reader stood after the last batch.
-    pub const fn standing(&self) -> Standing {
-        self.standing
+    pub const fn status(&self) -> ReadStatus {
+        self.status
     }
 
     /// Offset from which to read next.
@@ -145,14 +145,14 @@
     }
 
     /// Takes in an answer of the log.
-    pub fn take(&mut self, now_ms: u64, mut batch: Batch) -> Taken {
+    pub fn apply_batch(&mut self, now_ms: u64, mut batch: Batch) -> BatchOutcome {
         batch.entries.sort_by_key(|entry| entry.offset);
         self.front = self.front.max(batch.first);
         if batch.next < self.state.position() {
-            self.standing = Standing::Stale;
+            self.status = ReadStatus::Stale;
             let applied = Vec::new();
-            let standing = self.standing;
-            return Taken { applied, standing };
+            let status = self.status;
+            return BatchOutcome { applied, status };
         }
         // Records between the position and the front are gone. To go on from the
         // front would lose their changes here and nowhere else.
@@ -166,9 +166,9 @@
         } else {
             Vec::new()
         };
-        self.standing = self.stand(batch.next);
-        let standing = self.standing;
-        Taken { applied, standing }
+        self.status = self.status_at(batch.next);
+        let status = self.status;
+        BatchOutcome { applied, status }
     }
 
     /// Takes over the state of a peer, if it is further on.
@@ -179,7 +179,7 @@
         let adopted = self.state.adopt(checkpoint)?;
         if adopted && self.state.position() >= self.front {
             self.search = None;
-            self.standing = Standing::Behind;
+            self.status = ReadStatus::Behind;
         }
         Ok(adopted)
     }
@@ -188,7 +188,7 @@
     ///
     /// It tells nothing of where the log ends, so it is no evidence of anything: a
     /// peer may itself be far behind.
-    pub fn take_passed_on(
+    pub fn apply_forwarded(
         &mut self,
         now_ms: u64,
         offset: u64,
@@ -203,7 +203,7 @@
         };
         if self.state.position() != before && self.state.position() >= self.front {
             self.search = None;
-            self.standing = Standing::Behind;
+            self.status = ReadStatus::Behind;
         }
         applied.into_iter().next()
     }
@@ -256,11 +256,11 @@
         applied
     }
 
-    fn stand(&self, next: u64) -> Standing {
+    fn status_at(&self, next: u64) -> ReadStatus {
         match self.search {
-            Some(cursor) if cursor >= next => Standing::Lacking,
-            None if self.state.position() == next => Standing::AtEnd,
-            _ => Standing::Behind,
+            Some(cursor) if cursor >= next => ReadStatus::MissingRecords,
+            None if self.state.position() == next => ReadStatus::AtEnd,
+            _ => ReadStatus::Behind,
         }
     }
 
@@ -283,7 +283,7 @@
     /// Whether to append [`state::State::checkpoint`] to the log now.
     ///
     /// `jitter_ms` is drawn once a process from 0 to [`spread_ms`]. After an append,
-    /// whatever came of it, call [`Reader::checkpoint_tried`].
+    /// whatever came of it, call [`Reader::checkpoint_attempted`].
     pub fn checkpoint_due(&mut self, now_ms: u64, jitter_ms: u64) -> bool {
         if !self.checkpoint_wanted(now_ms) {
             self.wanted_since = None;
@@ -300,7 +300,7 @@
     ///
     /// Whether it took effect is learned by reading it, not from the answer, which
     /// may be lost.
-    pub const fn checkpoint_tried(&mut self, now_ms: u64) {
+    pub const fn checkpoint_attempted(&mut self, now_ms: u64) {
         self.tried_ms = Some(now_ms);
     }
 
@@ -309,7 +309,7 @@
     }
 
     fn checkpoint_wanted(&self, now_ms: u64) -> bool {
-        if self.standing != Standing::AtEnd || self.state.position() == 0 {
+        if self.status != ReadStatus::AtEnd || self.state.position() == 0 {
             return false;
         }
         let seen_ms = self.mark.map_or(self.started_ms, |mark| mark.seen_ms);
--- a/tests/unit/settings/reader.rs
+++ b/tests/unit/settings/reader.rs
@@ -25,8 +25,8 @@
 /// A reader that has taken in a whole log.
 fn at_end(now_ms: u64, documents: &[serde_json::Value]) -> settings::Reader {
     let mut reader = follower();
-    let taken = reader.take(now_ms, fixtures::batch(0, documents));
-    assert_eq!(taken.standing, reader::Standing::AtEnd);
+    let taken = reader.apply_batch(now_ms, fixtures::batch(0, documents));
+    assert_eq!(taken.status, reader::ReadStatus::AtEnd);
     reader
 }
 
@@ -43,11 +43,11 @@
     let mut reader = at_end(0, &log[..1]);
     log.push(numbered_change(5));
 
-    let taken = reader.take(1, fixtures::batch(3, &log[3..]));
+    let taken = reader.apply_batch(1, fixtures::batch(3, &log[3..]));
 
     assert_eq!(
-        (taken.applied.len(), taken.standing),
-        (0, reader::Standing::Lacking)
+        (taken.applied.len(), taken.status),
+        (0, reader::ReadStatus::MissingRecords)
     );
     assert_eq!((reader.state().position(), reader.read_from()), (1, 6));
 }
@@ -60,9 +60,9 @@
     log.push(numbered_change(5));
     let mut reader = follower();
 
-    let taken = reader.take(1, fixtures::batch(4, &log[4..]));
+    let taken = reader.apply_batch(1, fixtures::batch(4, &log[4..]));
 
-    assert_eq!(taken.standing, reader::Standing::AtEnd);
+    assert_eq!(taken.status, reader::ReadStatus::AtEnd);
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
 
@@ -78,13 +78,13 @@
         entries: fixtures::entries(from as u64, &log[from..to]),
     };
 
-    let first = reader.take(1, part(3, 5)).standing;
+    let first = reader.apply_batch(1, part(3, 5)).status;
     let from = reader.read_from();
-    let second = reader.take(2, part(5, 6)).standing;
+    let second = reader.apply_batch(2, part(5, 6)).status;
 
     assert_eq!(
         (first, from, second),
-        (reader::Standing::Behind, 5, reader::Standing::AtEnd)
+        (reader::ReadStatus::Behind, 5, reader::ReadStatus::AtEnd)
     );
 }
 
@@ -94,11 +94,11 @@
     let early = checkpoint_of(&at_end(0, &log[..2]));
     let mut reader = follower();
 
-    let taken = reader.take(1, fixtures::batch(4, &[early]));
+    let taken = reader.apply_batch(1, fixtures::batch(4, &[early]));
 
     assert_eq!(
-        (taken.standing, reader.state().position()),
-        (reader::Standing::Lacking, 0)
+        (taken.status, reader.state().position()),
+        (reader::ReadStatus::MissingRecords, 0)
     );
 }
 
@@ -109,11 +109,11 @@
     let ahead = checkpoint_of(&at_end(0, &changes(9)));
     let mut reader = follower();
 
-    let taken = reader.take(1, fixtures::batch(4, &[ahead]));
+    let taken = reader.apply_batch(1, fixtures::batch(4, &[ahead]));
 
     assert_eq!(
-        (taken.standing, reader.state().position()),
-        (reader::Standing::Lacking, 0)
+        (taken.status, reader.state().position()),
+        (reader::ReadStatus::MissingRecords, 0)
     );
 }
 
@@ -122,15 +122,15 @@
     let log = changes(6);
     let peer = at_end(0, &log[..5]);
     let mut reader = follower();
-    reader.take(1, fixtures::batch(4, &log[4..]));
+    reader.apply_batch(1, fixtures::batch(4, &log[4..]));
 
     let adopted = reader.adopt(&peer.state().checkpoint("entry-2"));
     let from = reader.read_from();
-    let taken = reader.take(2, fixtures::batch(4, &log[4..]));
+    let taken = reader.apply_batch(2, fixtures::batch(4, &log[4..]));
 
     assert_eq!(
-        (adopted, from, taken.standing),
-        (Ok(true), 5, reader::Standing::AtEnd)
+        (adopted, from, taken.status),
+        (Ok(true), 5, reader::ReadStatus::AtEnd)
     );
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
@@ -143,11 +143,11 @@
     shuffled.entries.extend(fixtures::entries(0, &log));
     let mut reader = follower();
 
-    let taken = reader.take(0, shuffled);
+    let taken = reader.apply_batch(0, shuffled);
 
     assert_eq!(
-        (taken.applied.len(), taken.standing),
-        (4, reader::Standing::AtEnd)
+        (taken.applied.len(), taken.status),
+        (4, reader::ReadStatus::AtEnd)
     );
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
@@ -160,9 +160,9 @@
     let log = changes(4);
     let mut reader = at_end(0, &log);
 
-    let taken = reader.take(1, fixtures::batch(0, &log[..2]));
+    let taken = reader.apply_batch(1, fixtures::batch(0, &log[..2]));
 
-    assert_eq!(taken.standing, reader::Standing::Stale);
+    assert_eq!(taken.status, reader::ReadStatus::Stale);
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
 
@@ -207,9 +207,9 @@
         entries: Vec::new(),
     };
 
-    reader.take(1, kept_from(4));
+    reader.apply_batch(1, kept_from(4));
     let early = reader.checkpoint_due(1, 0);
-    reader.take(2, kept_from(5));
+    reader.apply_batch(2, kept_from(5));
     let half_way = reader.checkpoint_due(2, 0);
 
     assert_eq!((early, half_way), (false, true));
@@ -224,7 +224,7 @@
     let first = eager.checkpoint_due(CHECKPOINT_MS, 0);
     let held_back = patient.checkpoint_due(CHECKPOINT_MS, jitter_ms);
     log.push(checkpoint_of(&eager));
-    patient.take(CHECKPOINT_MS + 5, fixtures::batch(0, &log));
+    patient.apply_batch(CHECKPOINT_MS + 5, fixtures::batch(0, &log));
     let spared = patient.checkpoint_due(CHECKPOINT_MS + jitter_ms, jitter_ms);
 
     assert_eq!((first, held_back, spared), (true, false, false));
@@ -234,7 +234,7 @@
 fn lost_checkpoint_is_tried_again_after_a_pause() {
     let mut reader = at_end(0, &changes(3));
     let due = reader.checkpoint_due(CHECKPOINT_MS, 0);
-    reader.checkpoint_tried(CHECKPOINT_MS);
+    reader.checkpoint_attempted(CHECKPOINT_MS);
     let pause_ms = reader::spread_ms(CHECKPOINT_MS);
 
     let at_once = reader.checkpoint_due(CHECKPOINT_MS + pause_ms - 1, 0);
@@ -249,7 +249,7 @@
     let mut reader = follower();
     let mut batch = fixtures::batch(0, &log);
     batch.next += 1;
-    reader.take(0, batch);
+    reader.apply_batch(0, batch);
 
     let is_due = reader.checkpoint_due(100 * CHECKPOINT_MS, 0);
 
--- a/tests/unit/settings/replicas.rs
+++ b/tests/unit/settings/replicas.rs
@@ -150,7 +150,7 @@
     }
 
     fn deliver(&mut self, replica: usize, batch: reader::Batch) {
-        self.replicas[replica].take(0, batch);
+        self.replicas[replica].apply_batch(0, batch);
     }
 
     fn batch(&self, from: usize, to: usize) -> reader::Batch {
@@ -287,7 +287,7 @@
     }
     world.settle();
     for replica in &world.replicas {
-        prop_assert_eq!(replica.standing(), reader::Standing::AtEnd);
+        prop_assert_eq!(replica.status(), reader::ReadStatus::AtEnd);
         prop_assert_eq!(replica.state(), world.replicas[0].state());
         check_replica(&world, replica)?;
     }
