--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -15,10 +15,10 @@
 use crate::entry::core;
 use crate::heartbeats;
 use crate::jobs;
-use crate::keeper;
 use crate::membership::announcements;
 use crate::membership::contacts;
 use crate::outgoing;
+use crate::settings_replica;
 use crate::streams;
 use crate::wire;
 
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
-    pub(super) keeper: keeper::Keeper,
+    pub(super) keeper: settings_replica::SettingsReplica,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<jobs::Key, Vec<Waiter>>,
     pub(super) claim_waiters: collections::HashMap<claims::ScopedId, Vec<oneshot::Sender<()>>>,
@@ -70,7 +70,7 @@
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let (name, zone) = (parts.me.name.clone(), parts.me.zone.clone());
-        let keeper = keeper::Keeper::new(name, zone, now_ms);
+        let keeper = settings_replica::SettingsReplica::new(name, zone, now_ms);
         let settings = sync::Arc::clone(keeper.state().settings());
         let seed = parts.me.incarnation.0;
         Self {
--- a/src/entry/hearing.rs
+++ b/src/entry/hearing.rs
@@ -133,7 +133,7 @@
             .core
             .heartbeat_answered(now_ms, message.asked_ms, &reply);
         self.publish_first();
-        if is_behind || self.keeper.is_lacking() {
+        if is_behind || self.keeper.is_missing_records() {
             let position = self.keeper.state().position();
             let done = cx.address().recipient();
             let pool = &self.parts.pool;
@@ -148,7 +148,7 @@
     fn handle(&mut self, message: heartbeats::SettingsDone, cx: &mut Self::Context) {
         let heartbeats::SettingsDone { address, reply } = message;
         let (now_ms, unix_ms) = (self.now_ms(), clock::unix_ms());
-        let taken = self.keeper.take_reply(now_ms, unix_ms, &address, reply);
+        let taken = self.keeper.apply_reply(now_ms, unix_ms, &address, reply);
         if taken.is_changed {
             self.settings_changed(cx);
         }
@@ -161,7 +161,7 @@
     fn handle(&mut self, message: streams::LogRead, cx: &mut Self::Context) -> u64 {
         let now_ms = self.now_ms();
         if let Some(batch) = message.batch {
-            let taken = self.keeper.take_batch(now_ms, clock::unix_ms(), batch);
+            let taken = self.keeper.apply_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
                 self.core.freshness().record_log_read(message.asked_ms);
             }
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -12,13 +12,13 @@
 use crate::clock;
 use crate::heartbeats;
 use crate::ids;
-use crate::keeper;
 use crate::membership::announcements;
 use crate::membership::contacts;
 use crate::outgoing;
 use crate::runner::backend;
 use crate::runner::core;
 use crate::runner::messages;
+use crate::settings_replica;
 use crate::streams;
 use crate::wire;
 
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
-    pub(super) keeper: keeper::Keeper,
+    pub(super) keeper: settings_replica::SettingsReplica,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<ids::Attempt, Vec<Waiter>>,
     pub(super) parts: Parts,
@@ -79,7 +79,8 @@
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let me = &parts.runner.me;
-        let keeper = keeper::Keeper::new(me.name.clone(), me.zone.clone(), now_ms);
+        let keeper =
+            settings_replica::SettingsReplica::new(me.name.clone(), me.zone.clone(), now_ms);
         let settings = sync::Arc::clone(keeper.state().settings());
         let own = me.address.clone();
         let search = announcements::Search::new(now_ms, me.incarnation.0);
--- a/src/keeper.rs
+++ b/src/settings_replica.rs
@@ -27,7 +27,7 @@
 
 /// What a read or a peer's reply changed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Taken {
+pub struct Update {
     /// Whether other settings are in force than before.
     pub is_changed: bool,
     /// Whether the log was read to its end, which alone is evidence of freshness; a
@@ -37,7 +37,7 @@
 
 /// The settings of one process, with what it needs to pass them on.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct SettingsReplica {
     process: SmolStr,
     zone: SmolStr,
     reader: settings::Reader,
@@ -46,7 +46,7 @@
     audit: audit::Audit,
 }
 
-impl Keeper {
+impl SettingsReplica {
     /// Knows no settings yet; the names are those of the process, for the trail.
     pub fn new(process: SmolStr, zone: SmolStr, now_ms: u64) -> Self {
         Self {
@@ -70,7 +70,7 @@
     }
 
     /// Whether records expired before they were read, so that only a peer can help.
-    pub fn is_lacking(&self) -> bool {
+    pub fn is_missing_records(&self) -> bool {
         self.reader.status() == reader::ReadStatus::MissingRecords
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Takes in what was read from the log.
-    pub fn take_batch(&mut self, now_ms: u64, unix_ms: u64, batch: reader::Batch) -> Taken {
+    pub fn apply_batch(&mut self, now_ms: u64, unix_ms: u64, batch: reader::Batch) -> Update {
         let before = self.state().revision();
         let taken = self.reader.apply_batch(now_ms, batch);
         if taken.status == reader::ReadStatus::MissingRecords {
@@ -89,7 +89,7 @@
         for applied in taken.applied {
             self.note(applied);
         }
-        Taken {
+        Update {
             is_changed: self.came_into_force(before, unix_ms),
             is_at_end: taken.status == reader::ReadStatus::AtEnd,
         }
@@ -140,13 +140,13 @@
     ///
     /// An older state than ours changes nothing, so a replaced or thawed peer can't
     /// bring an older revision back.
-    pub fn take_reply(
+    pub fn apply_reply(
         &mut self,
         now_ms: u64,
         unix_ms: u64,
         peer: &SmolStr,
         reply: wire::SettingsReply,
-    ) -> Taken {
+    ) -> Update {
         let before = self.state().revision();
         if let Some(checkpoint) = &reply.state {
             self.take_state(unix_ms, peer, checkpoint);
@@ -156,7 +156,7 @@
                 break;
             }
         }
-        Taken {
+        Update {
             is_changed: self.came_into_force(before, unix_ms),
             is_at_end: false,
         }
--- a/tests/unit/keeper.rs
+++ b/tests/unit/settings_replica.rs
@@ -1,9 +1,9 @@
 //! Settings on their way from process to process.
 
 use bulrushtiller::audit;
-use bulrushtiller::keeper;
 use bulrushtiller::settings;
 use bulrushtiller::settings::reader;
+use bulrushtiller::settings_replica;
 use bulrushtiller::wire;
 use proptest::prelude::*;
 use smol_str::SmolStr;
@@ -12,8 +12,8 @@
 
 const CASES: u32 = 200;
 
-fn keeper(name: &str) -> keeper::Keeper {
-    keeper::Keeper::new(SmolStr::new(name), SmolStr::new_static("caxias"), 0)
+fn keeper(name: &str) -> settings_replica::SettingsReplica {
+    settings_replica::SettingsReplica::new(SmolStr::new(name), SmolStr::new_static("caxias"), 0)
 }
 
 fn numbered_change(number: usize) -> serde_json::Value {
@@ -36,20 +36,26 @@
     documents
 }
 
-fn read_all(keeper: &mut keeper::Keeper, documents: &[serde_json::Value]) -> keeper::Taken {
-    keeper.take_batch(1, 1, fixtures::batch(0, documents))
+fn read_all(
+    keeper: &mut settings_replica::SettingsReplica,
+    documents: &[serde_json::Value],
+) -> settings_replica::Update {
+    keeper.apply_batch(1, 1, fixtures::batch(0, documents))
 }
 
-fn query(keeper: &keeper::Keeper) -> wire::SettingsQuery {
+fn query(keeper: &settings_replica::SettingsReplica) -> wire::SettingsQuery {
     wire::SettingsQuery {
         version: wire::VERSION,
         position: keeper.state().position(),
     }
 }
 
-fn ask(asker: &mut keeper::Keeper, asked: &keeper::Keeper) -> keeper::Taken {
+fn ask(
+    asker: &mut settings_replica::SettingsReplica,
+    asked: &settings_replica::SettingsReplica,
+) -> settings_replica::Update {
     let reply = asked.reply(&query(asker));
-    asker.take_reply(1, 1, &SmolStr::new_static("peer"), reply)
+    asker.apply_reply(1, 1, &SmolStr::new_static("peer"), reply)
 }
 
 #[test]
@@ -147,7 +153,7 @@
         state: Some(old.state().checkpoint("old")),
     };
 
-    let taken = new.take_reply(2, 2, &SmolStr::new_static("old"), reply);
+    let taken = new.apply_reply(2, 2, &SmolStr::new_static("old"), reply);
 
     assert!(!taken.is_changed);
     assert_eq!(new.state().revision(), in_force);
@@ -161,7 +167,7 @@
 }
 
 /// The whole trail, page by page.
-fn trail(keeper: &keeper::Keeper) -> Vec<audit::Event> {
+fn trail(keeper: &settings_replica::SettingsReplica) -> Vec<audit::Event> {
     let mut events = Vec::new();
     let mut from = 0;
     loop {
@@ -178,7 +184,7 @@
 fn trail_tells_what_is_in_force_where_and_when() {
     let mut keeper = keeper("one");
 
-    keeper.take_batch(1, 1_234, fixtures::batch(0, &log(1)));
+    keeper.apply_batch(1, 1_234, fixtures::batch(0, &log(1)));
 
     let expected = audit::Event::InForce {
         process: SmolStr::new_static("one"),
@@ -244,14 +250,14 @@
                         next: documents.len() as u64,
                         entries: fixtures::entries(from as u64, &documents[from..to]),
                     };
-                    let taken = keepers[one].take_batch(1, 1, batch);
+                    let taken = keepers[one].apply_batch(1, 1, batch);
                     prop_assert_eq!(taken.is_at_end, to == documents.len());
                 }
                 Step::Ask(one, other) => {
                     let reply = keepers[other].reply(&query(&keepers[one]));
                     let peer = SmolStr::new_static("peer");
-                    keepers[one].take_reply(1, 1, &peer, reply.clone());
-                    keepers[one].take_reply(1, 1, &peer, reply);
+                    keepers[one].apply_reply(1, 1, &peer, reply.clone());
+                    keepers[one].apply_reply(1, 1, &peer, reply);
                 }
             }
             for keeper in &keepers {
