--- a/src/control.rs
+++ b/src/control.rs
@@ -11,25 +11,25 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "api::Status")]
-pub struct WantStatus;
+pub struct GetStatus;
 
 /// The metrics are scraped.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Vec<metrics::Sample>")]
-pub struct WantMetrics;
+pub struct GetMetrics;
 
 /// A peer wants settings.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "wire::SettingsReply")]
-pub struct WantSettings(pub wire::SettingsQuery);
+pub struct GetSettings(pub wire::SettingsQuery);
 
 /// An operator reads the audit trail from this number on.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "audit::Page")]
-pub struct WantAudit(pub u64);
+pub struct GetAudit(pub u64);
 
 /// The process is to stop; the answer is how long that may take by the settings in
 /// force.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -107,7 +107,7 @@
     let system = actix_rt::System::new();
     system.block_on(async {
         let serving = Starting { cfg }.open()?;
-        serving.until_told_to_stop().await?.drain().await
+        serving.until_signal().await?.drain().await
     })
 }
 
@@ -120,7 +120,7 @@
 /// Ports are open.
 struct Serving {
     servers: Vec<dev::ServerHandle>,
-    ways: Stops,
+    shutdown: ShutdownHandles,
     progress: progress::Progress,
     signals: Signals,
 }
@@ -128,14 +128,14 @@
 /// Nothing new is taken.
 struct Draining {
     servers: Vec<dev::ServerHandle>,
-    ways: Stops,
+    shutdown: ShutdownHandles,
     progress: progress::Progress,
     drain: time::Duration,
     signals: Signals,
 }
 
 /// Ways to tell the control thread to stop, whatever its role.
-pub(crate) struct Stops {
+pub(crate) struct ShutdownHandles {
     leave: actix::Recipient<control::Leave>,
     is_drained: actix::Recipient<control::IsDrained>,
     abandon: actix::Recipient<control::Abandon>,
@@ -182,7 +182,7 @@
         };
         Ok(Serving {
             servers: opened.servers,
-            ways: opened.stops,
+            shutdown: opened.shutdown_handles,
             progress: opened.progress,
             signals,
         })
@@ -223,13 +223,13 @@
             pool,
             snapshot: sync::Arc::clone(&snapshot),
         };
-        let control = on_own_thread(move || entry::control::Control::new(parts))?;
+        let control = start_on_own_thread(move || entry::control::Control::new(parts))?;
         let shared = entry::http::Shared {
             control: control.clone(),
             snapshot,
             incarnation,
         };
-        let ways = ways(&control);
+        let handles = control_handles(&control);
         let progress = progress::Progress::default();
         let public = serve(
             listener,
@@ -237,10 +237,10 @@
             Bounds::usual(None),
             &progress,
             {
-                let (shared, ways) = (shared.clone(), ways.clone());
+                let (shared, handles) = (shared.clone(), handles.clone());
                 move |cfg| {
                     cfg.app_data(web::Data::new(shared.clone()));
-                    cfg.app_data(web::Data::new(ways.clone()));
+                    cfg.app_data(web::Data::new(handles.clone()));
                     entry::http::public_routes(cfg);
                 }
             },
@@ -252,14 +252,14 @@
             &progress,
             move |cfg| {
                 cfg.app_data(web::Data::new(shared.clone()));
-                cfg.app_data(web::Data::new(ways.clone()));
+                cfg.app_data(web::Data::new(handles.clone()));
                 entry::http::peer_routes(cfg);
             },
         )?;
         announce(&[("peers", peer_address), ("listening", address)])?;
         Ok(Opened {
             servers: vec![public, peers],
-            stops: stops(&control),
+            shutdown_handles: shutdown_handles(&control),
             progress,
         })
     }
@@ -292,22 +292,22 @@
             clock: clock::Clock::start(),
             pool,
         };
-        let control = on_own_thread(move || runner::control::Control::new(parts))?;
+        let control = start_on_own_thread(move || runner::control::Control::new(parts))?;
         let shared = runner::http::Shared {
             control: control.clone(),
         };
-        let ways = ways(&control);
+        let handles = control_handles(&control);
         let progress = progress::Progress::default();
         let bounds = Bounds::usual(Some(*connections));
         let server = serve(listener, self.cfg.threads, bounds, &progress, move |cfg| {
             cfg.app_data(web::Data::new(shared.clone()));
-            cfg.app_data(web::Data::new(ways.clone()));
+            cfg.app_data(web::Data::new(handles.clone()));
             runner::http::pages(cfg);
         })?;
         announce(&[("listening", address)])?;
         Ok(Opened {
             servers: vec![server],
-            stops: stops(&control),
+            shutdown_handles: shutdown_handles(&control),
             progress,
         })
     }
@@ -315,12 +315,12 @@
 
 struct Opened {
     servers: Vec<dev::ServerHandle>,
-    stops: Stops,
+    shutdown_handles: ShutdownHandles,
     progress: progress::Progress,
 }
 
 /// Starts the control actor on a thread that runs nothing else.
-pub(crate) fn on_own_thread<A, F>(make: F) -> Result<actix::Addr<A>, DaemonError>
+pub(crate) fn start_on_own_thread<A, F>(make: F) -> Result<actix::Addr<A>, DaemonError>
 where
     A: actix::Actor<Context = actix::Context<A>>,
     F: FnOnce() -> A + Send + 'static,
@@ -338,15 +338,15 @@
     rx.recv().map_err(|_ended| DaemonError::Thread("control"))
 }
 
-fn ways<A>(control: &actix::Addr<A>) -> operators::Ways
+fn control_handles<A>(control: &actix::Addr<A>) -> operators::ControlHandles
 where
     A: actix::Actor<Context = actix::Context<A>>
-        + actix::Handler<control::WantStatus>
-        + actix::Handler<control::WantMetrics>
-        + actix::Handler<control::WantAudit>
-        + actix::Handler<control::WantSettings>,
+        + actix::Handler<control::GetStatus>
+        + actix::Handler<control::GetMetrics>
+        + actix::Handler<control::GetAudit>
+        + actix::Handler<control::GetSettings>,
 {
-    operators::Ways {
+    operators::ControlHandles {
         status: control.clone().recipient(),
         metrics: control.clone().recipient(),
         audit: control.clone().recipient(),
@@ -354,14 +354,14 @@
     }
 }
 
-pub(crate) fn stops<A>(control: &actix::Addr<A>) -> Stops
+pub(crate) fn shutdown_handles<A>(control: &actix::Addr<A>) -> ShutdownHandles
 where
     A: actix::Actor<Context = actix::Context<A>>
         + actix::Handler<control::Leave>
         + actix::Handler<control::IsDrained>
         + actix::Handler<control::Abandon>,
 {
-    Stops {
+    ShutdownHandles {
         leave: control.clone().recipient(),
         is_drained: control.clone().recipient(),
         abandon: control.clone().recipient(),
@@ -378,7 +378,7 @@
     /// How long an unused connection is kept.
     pub idle: time::Duration,
     /// Whether callers that hang up are noticed; takes a descriptor more for each.
-    pub has_hangups: bool,
+    pub detects_hangups: bool,
 }
 
 impl Bounds {
@@ -387,7 +387,7 @@
             connections,
             head: HEAD_TIMEOUT,
             idle: KEEP_ALIVE,
-            has_hangups: false,
+            detects_hangups: false,
         }
     }
 }
@@ -415,7 +415,7 @@
         .client_request_timeout(bounds.head)
         .keep_alive(bounds.idle)
         .shutdown_timeout(CLOSE_SECONDS);
-    if bounds.has_hangups {
+    if bounds.detects_hangups {
         server = server.on_connect(hangup::Hangup::attach);
     }
     if let Some(connections) = bounds.connections {
@@ -437,36 +437,36 @@
 }
 
 /// Serves until the process is told to stop, and on until it is drained.
-pub(crate) async fn until_drained(
+pub(crate) async fn serve_until_drained(
     servers: Vec<dev::ServerHandle>,
-    ways: Stops,
+    shutdown: ShutdownHandles,
     progress: progress::Progress,
 ) -> Result<(), DaemonError> {
     let serving = Serving {
         servers,
-        ways,
+        shutdown,
         progress,
         signals: Signals::listen()?,
     };
-    serving.until_told_to_stop().await?.drain().await
+    serving.until_signal().await?.drain().await
 }
 
 impl Serving {
-    async fn until_told_to_stop(mut self) -> Result<Draining, DaemonError> {
+    async fn until_signal(mut self) -> Result<Draining, DaemonError> {
         self.signals.next().await;
         log::info!(event = "daemon.leave"; "stopping gracefully");
         self.progress.leave();
-        let told = self.ways.leave.send(control::Leave).await;
+        let told = self.shutdown.leave.send(control::Leave).await;
         let drain = told.map_err(|_ended| DaemonError::Thread("control"))?;
         let Self {
             servers,
-            ways,
+            shutdown,
             progress,
             signals,
         } = self;
         Ok(Draining {
             servers,
-            ways,
+            shutdown,
             progress,
             drain,
             signals,
@@ -477,7 +477,7 @@
 impl Draining {
     /// Serves on until all is done, the time is over, or a second signal comes.
     async fn drain(mut self) -> Result<(), DaemonError> {
-        let is_drained = self.ways.is_drained;
+        let is_drained = self.shutdown.is_drained;
         let drained = async {
             while !is_drained.send(control::IsDrained).await.unwrap_or(true)
                 || !self.progress.is_idle()
@@ -491,12 +491,12 @@
             () = self.signals.next() => SmolStr::new_static("second signal"),
         };
         if ended != "drained" {
-            let told = self.ways.abandon.send(control::Abandon).await;
+            let told = self.shutdown.abandon.send(control::Abandon).await;
             told.map_err(|_ended| DaemonError::Thread("control"))?;
         }
         // All at once: each may take as long as its kept connections last.
-        let stops = self.servers.iter().map(|server| server.stop(true));
-        futures_util::future::join_all(stops).await;
+        let stopped = self.servers.iter().map(|server| server.stop(true));
+        futures_util::future::join_all(stopped).await;
         log::info!(event = "daemon.end"; "{ended}");
         log::logger().flush();
         Ok(())
--- a/src/entry/asked.rs
+++ b/src/entry/asked.rs
@@ -4,35 +4,35 @@
 use crate::entry;
 use crate::metrics;
 
-impl actix::Handler<control::WantAudit> for entry::control::Control {
-    type Result = actix::MessageResult<control::WantAudit>;
+impl actix::Handler<control::GetAudit> for entry::control::Control {
+    type Result = actix::MessageResult<control::GetAudit>;
 
-    fn handle(&mut self, message: control::WantAudit, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: control::GetAudit, _cx: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.keeper.audit(message.0))
     }
 }
 
-impl actix::Handler<control::WantStatus> for entry::control::Control {
-    type Result = actix::MessageResult<control::WantStatus>;
+impl actix::Handler<control::GetStatus> for entry::control::Control {
+    type Result = actix::MessageResult<control::GetStatus>;
 
-    fn handle(&mut self, _message: control::WantStatus, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: control::GetStatus, _cx: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.core.status(self.now_ms()))
     }
 }
 
-impl actix::Handler<control::WantMetrics> for entry::control::Control {
-    type Result = actix::MessageResult<control::WantMetrics>;
+impl actix::Handler<control::GetMetrics> for entry::control::Control {
+    type Result = actix::MessageResult<control::GetMetrics>;
 
-    fn handle(&mut self, _message: control::WantMetrics, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
         let samples: Vec<metrics::Sample> = self.core.samples(self.now_ms());
         actix::MessageResult(samples)
     }
 }
 
-impl actix::Handler<control::WantSettings> for entry::control::Control {
-    type Result = actix::MessageResult<control::WantSettings>;
+impl actix::Handler<control::GetSettings> for entry::control::Control {
+    type Result = actix::MessageResult<control::GetSettings>;
 
-    fn handle(&mut self, message: control::WantSettings, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: control::GetSettings, _cx: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.keeper.reply(&message.0))
     }
 }
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -50,7 +50,7 @@
     cfg.route("/v1/cancel", web::post().to(cancel_many));
     cfg.route("/v1/submissions/{id}", web::get().to(fetch));
     cfg.route("/v1/submissions/{id}", web::delete().to(cancel));
-    operators::pages(cfg);
+    operators::routes(cfg);
     cfg.default_service(web::to(incoming::no_such_page));
 }
 
@@ -59,8 +59,8 @@
     incoming::numbered(cfg);
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
     cfg.route(wire::FORWARD_PATH, web::post().to(forwarded));
-    operators::peer_pages(cfg);
-    operators::pages(cfg);
+    operators::peer_routes(cfg);
+    operators::routes(cfg);
     cfg.default_service(web::to(incoming::no_such_page));
 }
 
--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -379,10 +379,10 @@
     }
 }
 
-impl actix::Handler<control::WantMetrics> for Control {
-    type Result = actix::MessageResult<control::WantMetrics>;
+impl actix::Handler<control::GetMetrics> for Control {
+    type Result = actix::MessageResult<control::GetMetrics>;
 
-    fn handle(&mut self, _want: control::WantMetrics, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _want: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
         let counts = self.dispatcher.counts();
         let counter = metrics::Sample::counter;
         let gauge = metrics::Sample::gauge;
--- a/src/leased/process.rs
+++ b/src/leased/process.rs
@@ -61,7 +61,7 @@
     A: actix::Actor<Context = actix::Context<A>>,
     F: FnOnce() -> A + Send + 'static,
 {
-    daemon::on_own_thread(make)
+    daemon::start_on_own_thread(make)
 }
 
 /// The port where metrics are served; a process serves its callers without it too.
@@ -71,9 +71,9 @@
     control: &actix::Addr<A>,
 ) -> Port
 where
-    A: actix::Actor<Context = actix::Context<A>> + actix::Handler<control::WantMetrics>,
+    A: actix::Actor<Context = actix::Context<A>> + actix::Handler<control::GetMetrics>,
 {
-    let want: actix::Recipient<control::WantMetrics> = control.clone().recipient();
+    let want: actix::Recipient<control::GetMetrics> = control.clone().recipient();
     Port::new(address, bounds, move |cfg| {
         cfg.app_data(web::Data::new(want.clone()));
         cfg.route("/metrics", web::get().to(scrape));
@@ -81,13 +81,11 @@
     .optional()
 }
 
-async fn scrape(
-    want: web::Data<actix::Recipient<control::WantMetrics>>,
-) -> actix_web::HttpResponse {
-    let Ok(samples) = want.send(control::WantMetrics).await else {
+async fn scrape(want: web::Data<actix::Recipient<control::GetMetrics>>) -> actix_web::HttpResponse {
+    let Ok(samples) = want.send(control::GetMetrics).await else {
         return incoming::refuse(codes::Code::Leaving);
     };
-    metrics::page(samples)
+    metrics::response(samples)
 }
 
 /// Opens the ports and serves until the process is told to stop and is drained.
@@ -113,5 +111,5 @@
         let pages = move |cfg: &mut web::ServiceConfig| pages(cfg);
         servers.push(daemon::serve(listener, 1, port.bounds, &progress, pages)?);
     }
-    daemon::until_drained(servers, daemon::stops(control), progress).await
+    daemon::serve_until_drained(servers, daemon::shutdown_handles(control), progress).await
 }
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -167,7 +167,7 @@
 }
 
 /// The answer to `GET /metrics`.
-pub fn page(samples: Vec<Sample>) -> actix_web::HttpResponse {
+pub fn response(samples: Vec<Sample>) -> actix_web::HttpResponse {
     match render(samples) {
         Ok(text) => actix_web::HttpResponse::Ok()
             .content_type("application/openmetrics-text; version=1.0.0; charset=utf-8")
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -10,27 +10,27 @@
 use crate::metrics;
 use crate::wire;
 
-/// Ways to the control thread, whatever its role.
+/// Message handles to the control thread, whatever its role.
 #[derive(Clone)]
-pub struct Ways {
+pub struct ControlHandles {
     /// For the status.
-    pub status: actix::Recipient<control::WantStatus>,
+    pub status: actix::Recipient<control::GetStatus>,
     /// For the metrics.
-    pub metrics: actix::Recipient<control::WantMetrics>,
+    pub metrics: actix::Recipient<control::GetMetrics>,
     /// For the audit trail.
-    pub audit: actix::Recipient<control::WantAudit>,
+    pub audit: actix::Recipient<control::GetAudit>,
     /// For settings.
-    pub settings: actix::Recipient<control::WantSettings>,
+    pub settings: actix::Recipient<control::GetSettings>,
 }
 
-impl std::fmt::Debug for Ways {
+impl std::fmt::Debug for ControlHandles {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Ways").finish_non_exhaustive()
+        f.debug_struct("ControlHandles").finish_non_exhaustive()
     }
 }
 
 /// Adds the operators' pages.
-pub fn pages(cfg: &mut web::ServiceConfig) {
+pub fn routes(cfg: &mut web::ServiceConfig) {
     cfg.route("/status", web::get().to(status));
     cfg.route("/metrics", web::get().to(scrape));
     cfg.route("/healthz", web::get().to(health));
@@ -39,22 +39,22 @@
 }
 
 /// Adds the page where peers fetch settings.
-pub fn peer_pages(cfg: &mut web::ServiceConfig) {
+pub fn peer_routes(cfg: &mut web::ServiceConfig) {
     cfg.route(wire::SETTINGS_PATH, web::post().to(settings));
 }
 
-async fn status(ways: web::Data<Ways>) -> actix_web::HttpResponse {
-    match ways.status.send(control::WantStatus).await {
+async fn status(handles: web::Data<ControlHandles>) -> actix_web::HttpResponse {
+    match handles.status.send(control::GetStatus).await {
         Ok(status) => actix_web::HttpResponse::Ok().json(status),
         Err(_ended) => incoming::refuse(codes::Code::Leaving),
     }
 }
 
-async fn scrape(ways: web::Data<Ways>) -> actix_web::HttpResponse {
-    let Ok(samples) = ways.metrics.send(control::WantMetrics).await else {
+async fn scrape(handles: web::Data<ControlHandles>) -> actix_web::HttpResponse {
+    let Ok(samples) = handles.metrics.send(control::GetMetrics).await else {
         return incoming::refuse(codes::Code::Leaving);
     };
-    metrics::page(samples)
+    metrics::response(samples)
 }
 
 /// The process answers; nothing more is claimed.
@@ -63,8 +63,8 @@
 }
 
 /// Whether the balancer should send callers here.
-async fn ready(ways: web::Data<Ways>) -> actix_web::HttpResponse {
-    match ways.status.send(control::WantStatus).await {
+async fn ready(handles: web::Data<ControlHandles>) -> actix_web::HttpResponse {
+    match handles.status.send(control::GetStatus).await {
         Ok(status) if status.leaving => incoming::refuse(codes::Code::Leaving),
         Ok(status) if !status.has_settings => incoming::refuse(codes::Code::NotFresh),
         Ok(_ready) => actix_web::HttpResponse::Ok().body("ready\n"),
@@ -79,19 +79,25 @@
 }
 
 /// One page of the audit trail; `docs/OPERATIONS.md` tells how to follow it.
-async fn audit(ways: web::Data<Ways>, query: web::Query<AuditQuery>) -> actix_web::HttpResponse {
-    match ways.audit.send(control::WantAudit(query.from)).await {
+async fn audit(
+    handles: web::Data<ControlHandles>,
+    query: web::Query<AuditQuery>,
+) -> actix_web::HttpResponse {
+    match handles.audit.send(control::GetAudit(query.from)).await {
         Ok(page) => actix_web::HttpResponse::Ok().json(page),
         Err(_ended) => incoming::refuse(codes::Code::Leaving),
     }
 }
 
-async fn settings(ways: web::Data<Ways>, payload: web::Payload) -> actix_web::HttpResponse {
+async fn settings(
+    handles: web::Data<ControlHandles>,
+    payload: web::Payload,
+) -> actix_web::HttpResponse {
     let query = match incoming::read_message(payload).await {
         Ok(query) => query,
         Err(refusal) => return refusal,
     };
-    match ways.settings.send(control::WantSettings(query)).await {
+    match handles.settings.send(control::GetSettings(query)).await {
         Ok(reply) => incoming::message(&reply),
         Err(_ended) => incoming::refuse(codes::Code::Leaving),
     }
--- a/src/runner/http.rs
+++ b/src/runner/http.rs
@@ -26,8 +26,8 @@
     cfg.route(wire::DISPATCH_PATH, web::post().to(dispatch));
     cfg.route(wire::FENCE_PATH, web::post().to(fence));
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
-    operators::peer_pages(cfg);
-    operators::pages(cfg);
+    operators::peer_routes(cfg);
+    operators::routes(cfg);
     cfg.default_service(web::to(incoming::no_such_page));
 }
 
--- a/src/runner/report.rs
+++ b/src/runner/report.rs
@@ -12,18 +12,18 @@
 /// Least time for which a stopping runner is there to say so.
 const LINGER_MS: u64 = 500;
 
-impl actix::Handler<control::WantAudit> for runner::control::Control {
-    type Result = actix::MessageResult<control::WantAudit>;
+impl actix::Handler<control::GetAudit> for runner::control::Control {
+    type Result = actix::MessageResult<control::GetAudit>;
 
-    fn handle(&mut self, message: control::WantAudit, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: control::GetAudit, _cx: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.keeper.audit(message.0))
     }
 }
 
-impl actix::Handler<control::WantStatus> for runner::control::Control {
-    type Result = actix::MessageResult<control::WantStatus>;
+impl actix::Handler<control::GetStatus> for runner::control::Control {
+    type Result = actix::MessageResult<control::GetStatus>;
 
-    fn handle(&mut self, _message: control::WantStatus, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: control::GetStatus, _cx: &mut Self::Context) -> Self::Result {
         let now_ms = self.now_ms();
         let me = self.core.me().clone();
         let evidence = self.core.freshness().evidence(now_ms);
@@ -46,10 +46,10 @@
     }
 }
 
-impl actix::Handler<control::WantMetrics> for runner::control::Control {
-    type Result = actix::MessageResult<control::WantMetrics>;
+impl actix::Handler<control::GetMetrics> for runner::control::Control {
+    type Result = actix::MessageResult<control::GetMetrics>;
 
-    fn handle(&mut self, _message: control::WantMetrics, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
         let counter = metrics::Sample::counter;
         let gauge = metrics::Sample::gauge;
         let revision = self
@@ -101,10 +101,10 @@
     }
 }
 
-impl actix::Handler<control::WantSettings> for runner::control::Control {
-    type Result = actix::MessageResult<control::WantSettings>;
+impl actix::Handler<control::GetSettings> for runner::control::Control {
+    type Result = actix::MessageResult<control::GetSettings>;
 
-    fn handle(&mut self, message: control::WantSettings, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, message: control::GetSettings, _cx: &mut Self::Context) -> Self::Result {
         actix::MessageResult(self.keeper.reply(&message.0))
     }
 }
