--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -21,9 +21,9 @@
 use crate::hangup;
 use crate::heartbeats;
 use crate::ids;
+use crate::open_requests;
 use crate::operators;
 use crate::outgoing;
-use crate::progress;
 use crate::runner;
 use crate::telemetry;
 use crate::wire;
@@ -121,7 +121,7 @@
 struct Serving {
     servers: Vec<dev::ServerHandle>,
     shutdown: ShutdownHandles,
-    progress: progress::Progress,
+    open_requests: open_requests::OpenRequests,
     signals: Signals,
 }
 
@@ -129,7 +129,7 @@
 struct Draining {
     servers: Vec<dev::ServerHandle>,
     shutdown: ShutdownHandles,
-    progress: progress::Progress,
+    open_requests: open_requests::OpenRequests,
     drain: time::Duration,
     signals: Signals,
 }
@@ -183,7 +183,7 @@
         Ok(Serving {
             servers: opened.servers,
             shutdown: opened.shutdown_handles,
-            progress: opened.progress,
+            open_requests: opened.open_requests,
             signals,
         })
     }
@@ -230,12 +230,12 @@
             incarnation,
         };
         let handles = control_handles(&control);
-        let progress = progress::Progress::default();
+        let open_requests = open_requests::OpenRequests::default();
         let public = serve(
             listener,
             self.cfg.threads,
             Bounds::usual(None),
-            &progress,
+            &open_requests,
             {
                 let (shared, handles) = (shared.clone(), handles.clone());
                 move |cfg| {
@@ -249,7 +249,7 @@
             peer_listener,
             self.cfg.threads,
             Bounds::usual(None),
-            &progress,
+            &open_requests,
             move |cfg| {
                 cfg.app_data(web::Data::new(shared.clone()));
                 cfg.app_data(web::Data::new(handles.clone()));
@@ -260,7 +260,7 @@
         Ok(Opened {
             servers: vec![public, peers],
             shutdown_handles: shutdown_handles(&control),
-            progress,
+            open_requests,
         })
     }
 
@@ -297,18 +297,24 @@
             control: control.clone(),
         };
         let handles = control_handles(&control);
-        let progress = progress::Progress::default();
+        let open_requests = open_requests::OpenRequests::default();
         let bounds = Bounds::usual(Some(*connections));
-        let server = serve(listener, self.cfg.threads, bounds, &progress, move |cfg| {
-            cfg.app_data(web::Data::new(shared.clone()));
-            cfg.app_data(web::Data::new(handles.clone()));
-            runner::http::pages(cfg);
-        })?;
+        let server = serve(
+            listener,
+            self.cfg.threads,
+            bounds,
+            &open_requests,
+            move |cfg| {
+                cfg.app_data(web::Data::new(shared.clone()));
+                cfg.app_data(web::Data::new(handles.clone()));
+                runner::http::pages(cfg);
+            },
+        )?;
         announce(&[("listening", address)])?;
         Ok(Opened {
             servers: vec![server],
             shutdown_handles: shutdown_handles(&control),
-            progress,
+            open_requests,
         })
     }
 }
@@ -316,7 +322,7 @@
 struct Opened {
     servers: Vec<dev::ServerHandle>,
     shutdown_handles: ShutdownHandles,
-    progress: progress::Progress,
+    open_requests: open_requests::OpenRequests,
 }
 
 /// Starts the control actor on a thread that runs nothing else.
@@ -397,17 +403,17 @@
     listener: net::TcpListener,
     threads: usize,
     bounds: Bounds,
-    progress: &progress::Progress,
+    open_requests: &open_requests::OpenRequests,
     pages: F,
 ) -> std::io::Result<dev::ServerHandle>
 where
     F: Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
 {
-    let progress = progress.clone();
+    let open_requests = open_requests.clone();
     let factory = move || {
-        let follow = middleware::from_fn(progress::follow);
-        let app = actix_web::App::new().app_data(web::Data::new(progress.clone()));
-        app.wrap(follow).configure(pages.clone())
+        let track = middleware::from_fn(open_requests::track);
+        let app = actix_web::App::new().app_data(web::Data::new(open_requests.clone()));
+        app.wrap(track).configure(pages.clone())
     };
     let mut server = actix_web::HttpServer::new(factory)
         .workers(threads)
@@ -440,12 +446,12 @@
 pub(crate) async fn serve_until_drained(
     servers: Vec<dev::ServerHandle>,
     shutdown: ShutdownHandles,
-    progress: progress::Progress,
+    open_requests: open_requests::OpenRequests,
 ) -> Result<(), DaemonError> {
     let serving = Serving {
         servers,
         shutdown,
-        progress,
+        open_requests,
         signals: Signals::listen()?,
     };
     serving.until_signal().await?.drain().await
@@ -455,19 +461,19 @@
     async fn until_signal(mut self) -> Result<Draining, DaemonError> {
         self.signals.next().await;
         log::info!(event = "daemon.leave"; "stopping gracefully");
-        self.progress.leave();
+        self.open_requests.leave();
         let told = self.shutdown.leave.send(control::Leave).await;
         let drain = told.map_err(|_ended| DaemonError::Thread("control"))?;
         let Self {
             servers,
             shutdown,
-            progress,
+            open_requests,
             signals,
         } = self;
         Ok(Draining {
             servers,
             shutdown,
-            progress,
+            open_requests,
             drain,
             signals,
         })
@@ -480,7 +486,7 @@
         let is_drained = self.shutdown.is_drained;
         let drained = async {
             while !is_drained.send(control::IsDrained).await.unwrap_or(true)
-                || !self.progress.is_idle()
+                || !self.open_requests.is_idle()
             {
                 tokio::time::sleep(DRAIN_POLL).await;
             }
--- a/src/entry/dispatching.rs
+++ b/src/entry/dispatching.rs
@@ -35,7 +35,7 @@
             let attempt = dispatch.attempt;
             let path = wire::DISPATCH_PATH;
             let reply = if is_suspect {
-                outgoing::post_afresh(&to, path, &dispatch, limit).await
+                outgoing::post_on_new_connection(&to, path, &dispatch, limit).await
             } else {
                 outgoing::post(&client, &to, path, &dispatch, limit).await
             };
@@ -65,7 +65,7 @@
         let control = cx.address();
         self.parts.pool.run(move |_client| async move {
             let path = wire::FENCE_PATH;
-            match outgoing::post_afresh(&to, path, &fence, FENCE_TIMEOUT).await {
+            match outgoing::post_on_new_connection(&to, path, &fence, FENCE_TIMEOUT).await {
                 Ok(reply) => control.do_send(messages::FenceDone { to, fence, reply }),
                 Err(e) => log::warn!(event = "fence.failed", to = to.as_str(); "{e}"),
             }
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -38,7 +38,7 @@
     let message = message(peer, team, call);
     let limit = time::Duration::from_millis(wait_ms.saturating_add(GRACE_MS));
     let path = wire::FORWARD_PATH;
-    let reply = outgoing::post_afresh(&peer.address, path, &message, limit).await;
+    let reply = outgoing::post_on_new_connection(&peer.address, path, &message, limit).await;
     let reply: Result<wire::ForwardReply, _> = reply;
     // It was not even read, and never will be: to ask again would not help.
     let too_large = codes::Code::TooLarge;
@@ -125,7 +125,7 @@
     let call = wire::Call::Submit(submission);
     let message = message(to, team.clone(), call);
     let (address, path) = (&to.address, wire::FORWARD_PATH);
-    let kept = outgoing::kept();
+    let kept = outgoing::thread_client();
     let reply = outgoing::post(&kept, address, path, &message, TAKEN_IN_KEPT).await;
     match reply.map(|reply: wire::ForwardReply| reply.answer) {
         Ok(answer) => return passing::first_word(answer),
@@ -139,7 +139,7 @@
             log::warn!(event = "pass_on.silent", submission = id, to = to; "{e}");
         }
     }
-    let reply = outgoing::post_afresh(address, path, &message, TAKEN_IN_AFRESH).await;
+    let reply = outgoing::post_on_new_connection(address, path, &message, TAKEN_IN_AFRESH).await;
     reply.map_or(passing::Passed::Unknown, |reply: wire::ForwardReply| {
         passing::second_word(reply.answer)
     })
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -43,7 +43,7 @@
 
 /// Pages for callers and operators.
 pub fn public_routes(cfg: &mut web::ServiceConfig) {
-    incoming::numbered(cfg);
+    incoming::configure_errors(cfg);
     cfg.route("/v1/tickets", web::post().to(tickets));
     cfg.route("/v1/jobs", web::post().to(submit_job));
     cfg.route("/v1/requests", web::post().to(submit_request));
@@ -51,17 +51,17 @@
     cfg.route("/v1/submissions/{id}", web::get().to(fetch));
     cfg.route("/v1/submissions/{id}", web::delete().to(cancel));
     operators::routes(cfg);
-    cfg.default_service(web::to(incoming::no_such_page));
+    cfg.default_service(web::to(incoming::not_found));
 }
 
 /// Pages for other processes.
 pub fn peer_routes(cfg: &mut web::ServiceConfig) {
-    incoming::numbered(cfg);
+    incoming::configure_errors(cfg);
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
     cfg.route(wire::FORWARD_PATH, web::post().to(forwarded));
     operators::peer_routes(cfg);
     operators::routes(cfg);
-    cfg.default_service(web::to(incoming::no_such_page));
+    cfg.default_service(web::to(incoming::not_found));
 }
 
 impl Shared {
@@ -172,7 +172,7 @@
     };
     match work.await {
         Ok(tickets) => actix_web::HttpResponse::Ok().json(tickets),
-        Err(refusal) => incoming::refuse_for(&refusal),
+        Err(refusal) => incoming::refuse_with_detail(&refusal),
     }
 }
 
@@ -195,7 +195,7 @@
 fn respond(answered: Result<api::Answer, incoming::Refusal>) -> actix_web::HttpResponse {
     match answered {
         Ok(answer) => incoming::answer(&answer),
-        Err(refusal) => incoming::refuse_for(&refusal),
+        Err(refusal) => incoming::refuse_with_detail(&refusal),
     }
 }
 
@@ -302,7 +302,7 @@
     };
     match work.await {
         Ok(cancelled) => actix_web::HttpResponse::Ok().json(cancelled),
-        Err(refusal) => incoming::refuse_for(&refusal),
+        Err(refusal) => incoming::refuse_with_detail(&refusal),
     }
 }
 
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -50,7 +50,7 @@
         let address = target.address;
         let path = wire::HEARTBEAT_PATH;
         let reply = if target.needs_new_connection {
-            outgoing::post_afresh(&address, path, &heartbeat, limit).await
+            outgoing::post_on_new_connection(&address, path, &heartbeat, limit).await
         } else {
             outgoing::post(&client, &address, path, &heartbeat, limit).await
         };
--- a/src/incoming.rs
+++ b/src/incoming.rs
@@ -132,7 +132,7 @@
 }
 
 /// Refuses with a numbered result, and says in words what is wrong.
-pub fn refuse_for(refusal: &Refusal) -> actix_web::HttpResponse {
+pub fn refuse_with_detail(refusal: &Refusal) -> actix_web::HttpResponse {
     answer(&refusal.answer(None))
 }
 
@@ -145,14 +145,14 @@
 ///
 /// Without it the library answers with a text of its own, which no client can tell
 /// by its code.
-pub fn numbered(cfg: &mut web::ServiceConfig) {
+pub fn configure_errors(cfg: &mut web::ServiceConfig) {
     let query = web::QueryConfig::default();
-    cfg.app_data(query.error_handler(|e, _req| numbered_error(e, codes::Code::BadQuery)));
+    cfg.app_data(query.error_handler(|e, _req| error_response(e, codes::Code::BadQuery)));
     let path = web::PathConfig::default();
-    cfg.app_data(path.error_handler(|e, _req| numbered_error(e, codes::Code::BadTicket)));
+    cfg.app_data(path.error_handler(|e, _req| error_response(e, codes::Code::BadTicket)));
 }
 
-fn numbered_error<E>(err: E, code: codes::Code) -> actix_web::Error
+fn error_response<E>(err: E, code: codes::Code) -> actix_web::Error
 where
     E: std::fmt::Debug + std::fmt::Display + 'static,
 {
@@ -174,6 +174,6 @@
 }
 
 /// The answer to a path or a method that is not there.
-pub async fn no_such_page() -> actix_web::HttpResponse {
+pub async fn not_found() -> actix_web::HttpResponse {
     refuse(codes::Code::NoSuchPage)
 }
--- a/src/leased/entry/calls.rs
+++ b/src/leased/entry/calls.rs
@@ -66,7 +66,7 @@
         sent => return sent,
     };
     log::info!(event = "order.again", runner = address, number = order.number, runs = order.starts.len(), why = why.as_str(); "no answer; sent again");
-    let again = outgoing::post_afresh(address, path, order, REPLY_LIMIT).await;
+    let again = outgoing::post_on_new_connection(address, path, order, REPLY_LIMIT).await;
     // That no second connection was made says nothing of the first.
     again.map_err(|e| outgoing::CallError::Lost(format!("{why}; again: {e}")))
 }
--- a/src/leased/process.rs
+++ b/src/leased/process.rs
@@ -11,7 +11,7 @@
 use crate::daemon;
 use crate::incoming;
 use crate::metrics;
-use crate::progress;
+use crate::open_requests;
 
 type Routes = sync::Arc<dyn Fn(&mut web::ServiceConfig) + Send + Sync>;
 
@@ -96,7 +96,7 @@
         + actix::Handler<control::IsDrained>
         + actix::Handler<control::Abandon>,
 {
-    let progress = progress::Progress::default();
+    let open_requests = open_requests::OpenRequests::default();
     let mut servers = Vec::with_capacity(ports.len());
     for port in ports {
         let listener = match net::TcpListener::bind(port.address) {
@@ -109,7 +109,13 @@
         };
         let pages = port.pages;
         let pages = move |cfg: &mut web::ServiceConfig| pages(cfg);
-        servers.push(daemon::serve(listener, 1, port.bounds, &progress, pages)?);
+        servers.push(daemon::serve(
+            listener,
+            1,
+            port.bounds,
+            &open_requests,
+            pages,
+        )?);
     }
-    daemon::serve_until_drained(servers, daemon::shutdown_handles(control), progress).await
+    daemon::serve_until_drained(servers, daemon::shutdown_handles(control), open_requests).await
 }
--- a/src/progress.rs
+++ b/src/open_requests.rs
@@ -11,21 +11,21 @@
 
 /// Counts requests whose answer is not yet made, and knows whether the process stops.
 #[derive(Clone, Debug, Default)]
-pub struct Progress {
+pub struct OpenRequests {
     open: sync::Arc<atomic::AtomicUsize>,
     is_leaving: sync::Arc<atomic::AtomicBool>,
 }
 
 /// One request in progress, also while its caller is gone and its future dropped.
-struct Open(sync::Arc<atomic::AtomicUsize>);
+struct OpenGuard(sync::Arc<atomic::AtomicUsize>);
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, atomic::Ordering::SeqCst);
     }
 }
 
-impl Progress {
+impl OpenRequests {
     /// The process stops: from now on every answer closes its connection.
     pub fn leave(&self) {
         self.is_leaving.store(true, atomic::Ordering::SeqCst);
@@ -39,9 +39,9 @@
         self.open.load(atomic::Ordering::SeqCst) == 0
     }
 
-    fn begin(&self) -> Open {
+    fn begin(&self) -> OpenGuard {
         self.open.fetch_add(1, atomic::Ordering::SeqCst);
-        Open(sync::Arc::clone(&self.open))
+        OpenGuard(sync::Arc::clone(&self.open))
     }
 }
 
@@ -50,14 +50,14 @@
 /// While the process stops, an answer says that its connection ends. Kept
 /// connections would be closed under the next request sent on them, whose sender
 /// could not know that it was not run.
-pub async fn follow<B: body::MessageBody>(
-    progress: web::Data<Progress>,
+pub async fn track<B: body::MessageBody>(
+    open_requests: web::Data<OpenRequests>,
     req: dev::ServiceRequest,
     next: middleware::Next<B>,
 ) -> Result<dev::ServiceResponse<B>, actix_web::Error> {
-    let open = progress.begin();
+    let open = open_requests.begin();
     let mut response = next.call(req).await?;
-    if progress.is_leaving.load(atomic::Ordering::SeqCst) {
+    if open_requests.is_leaving.load(atomic::Ordering::SeqCst) {
         let head = response.response_mut().head_mut();
         head.set_connection_type(http::ConnectionType::Close);
     }
--- a/src/outgoing.rs
+++ b/src/outgoing.rs
@@ -52,11 +52,11 @@
 
 /// A client that keeps connections, for the many calls.
 pub fn client() -> awc::Client {
-    client_keeping(KEEP_UNUSED)
+    client_with_keep_alive(KEEP_UNUSED)
 }
 
 /// A client that keeps unused connections for so long.
-pub fn client_keeping(unused: time::Duration) -> awc::Client {
+pub fn client_with_keep_alive(unused: time::Duration) -> awc::Client {
     let lifetime = time::Duration::from_millis(CONNECTION_LIFETIME_MS);
     let connector = awc::Connector::new()
         .timeout(CONNECT_TIMEOUT)
@@ -144,7 +144,7 @@
 /// something between the two ends has lost track of it. It shows as a question
 /// without an answer although the other side is well; a new connection is not
 /// affected.
-pub async fn post_afresh<M: Serialize, R: de::DeserializeOwned>(
+pub async fn post_on_new_connection<M: Serialize, R: de::DeserializeOwned>(
     address: &str,
     path: &str,
     message: &M,
@@ -191,7 +191,7 @@
 }
 
 /// This thread's client that keeps connections.
-pub fn kept() -> awc::Client {
+pub fn thread_client() -> awc::Client {
     CLIENT.with(awc::Client::clone)
 }
 
@@ -222,7 +222,7 @@
     {
         let at = self.next.fetch_add(1, atomic::Ordering::Relaxed) % self.arbiters.len();
         let is_running = self.arbiters[at].spawn_fn(move || {
-            let client = kept();
+            let client = thread_client();
             actix_rt::spawn(task(client));
         });
         if !is_running {
--- a/src/runner/http.rs
+++ b/src/runner/http.rs
@@ -22,13 +22,13 @@
 
 /// All pages.
 pub fn pages(cfg: &mut web::ServiceConfig) {
-    incoming::numbered(cfg);
+    incoming::configure_errors(cfg);
     cfg.route(wire::DISPATCH_PATH, web::post().to(dispatch));
     cfg.route(wire::FENCE_PATH, web::post().to(fence));
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
     operators::peer_routes(cfg);
     operators::routes(cfg);
-    cfg.default_service(web::to(incoming::no_such_page));
+    cfg.default_service(web::to(incoming::not_found));
 }
 
 async fn dispatch(shared: web::Data<Shared>, payload: web::Payload) -> actix_web::HttpResponse {
--- a/tests/failure/rig.rs
+++ b/tests/failure/rig.rs
@@ -365,7 +365,7 @@
 ) -> R {
     let limit = time::Duration::from_secs(5);
     let to = to.to_string();
-    let exchange = outgoing::post_afresh(&to, path, message, limit);
+    let exchange = outgoing::post_on_new_connection(&to, path, message, limit);
     let answer = actix_rt::System::new().block_on(exchange);
     answer.expect("an answer")
 }
