--- a/measure/src/sim/mod.rs
+++ b/measure/src/sim/mod.rs
@@ -33,7 +33,7 @@
     /// Its result code.
     pub code: codes::Code,
     /// Fates of its tasks, as answered.
-    pub fates: Vec<api::Fate>,
+    pub fates: Vec<api::TaskOutcome>,
     /// When to come back, if it was refused.
     pub retry_after_ms: Option<u64>,
 }
--- a/measure/src/sim/naive.rs
+++ b/measure/src/sim/naive.rs
@@ -58,9 +58,9 @@
             continue;
         }
         let fate = if is_failed {
-            api::Fate::Failed
+            api::TaskOutcome::Failed
         } else {
-            api::Fate::Ran
+            api::TaskOutcome::Ran
         };
         let code = if is_failed {
             codes::Code::TaskFailed
--- a/measure/src/sim/ways.rs
+++ b/measure/src/sim/ways.rs
@@ -278,7 +278,7 @@
                 at_us: last_us + self.site.to_caller_us,
                 sent_us: jobs[job].at_us,
                 code: codes::Code::Complete,
-                fates: vec![api::Fate::Ran; jobs[job].run_ms.len()],
+                fates: vec![api::TaskOutcome::Ran; jobs[job].run_ms.len()],
                 retry_after_ms: None,
             });
         }
--- a/src/api.rs
+++ b/src/api.rs
@@ -83,7 +83,7 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fate {
+pub enum TaskOutcome {
     /// Not decided yet.
     Pending,
     /// It ran and succeeded.
@@ -101,7 +101,7 @@
 #[derive(Deserialize, Serialize)]
 pub struct TaskAnswer {
     /// What became of it.
-    pub fate: Fate,
+    pub fate: TaskOutcome,
     /// Why.
     pub code: codes::Code,
     /// What the backend server answered.
@@ -121,7 +121,7 @@
 /// `POST /v1/tickets`: how many are wanted, and what is given.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct TicketOrder {
+pub struct TicketRequest {
     /// How many, 1 to 1000.
     pub count: u32,
 }
@@ -139,12 +139,12 @@
 /// `POST /v1/cancel`: many at once.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct CancelOrder {
+pub struct CancelRequest {
     /// The submissions to cancel.
     pub submissions: Vec<ids::SubmissionId>,
 }
 
-/// One answer for each submission of a [`CancelOrder`], in order.
+/// One answer for each submission of a [`CancelRequest`], in order.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Cancelled {
--- a/src/audit/event.rs
+++ b/src/audit/event.rs
@@ -19,7 +19,7 @@
 /// What the author said of a change, as far as it can be read.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct Made {
+pub struct ChangeInfo {
     /// Offset of the record.
     pub offset: u64,
     /// Id of the change.
@@ -43,7 +43,7 @@
     Accepted {
         /// The change.
         #[serde(flatten)]
-        made: Made,
+        made: ChangeInfo,
         /// The keys that changed, at most [`MAX_LISTED`].
         changed: Vec<diff::KeyChange>,
         /// How many more changed.
@@ -53,7 +53,7 @@
     Rejected {
         /// The change.
         #[serde(flatten)]
-        made: Made,
+        made: ChangeInfo,
         /// The first problem's class.
         code: codes::Code,
         /// The problems, at most [`MAX_LISTED`].
@@ -65,7 +65,7 @@
     Repeated {
         /// The repeat.
         #[serde(flatten)]
-        made: Made,
+        made: ChangeInfo,
         /// The verdict on the first.
         first: record::Recent,
     },
@@ -98,7 +98,7 @@
 impl Event {
     /// The event of a record that had its turn; most checkpoints make none.
     pub fn of_record(applied: &reader::Applied) -> Option<Self> {
-        let made = || Made::of(&applied.entry);
+        let made = || ChangeInfo::of(&applied.entry);
         match &applied.verdict {
             state::Verdict::Accepted { changed, .. } => Some(Self::accepted(made(), changed)),
             state::Verdict::Rejected { code, problems } => {
@@ -123,7 +123,7 @@
         }
     }
 
-    fn accepted(made: Made, changed: &[diff::KeyChange]) -> Self {
+    fn accepted(made: ChangeInfo, changed: &[diff::KeyChange]) -> Self {
         let shown = |value: &String| clip(value, MAX_SHOWN_BYTES);
         let listed = changed.iter().take(MAX_LISTED);
         Self::Accepted {
@@ -139,7 +139,7 @@
         }
     }
 
-    fn rejected(made: Made, code: codes::Code, problems: &[settings::Problem]) -> Self {
+    fn rejected(made: ChangeInfo, code: codes::Code, problems: &[settings::Problem]) -> Self {
         let listed = problems.iter().take(MAX_LISTED);
         Self::Rejected {
             made,
@@ -158,7 +158,7 @@
     }
 }
 
-impl Made {
+impl ChangeInfo {
     /// Reads what can be read of a record, also of one that was rejected as unreadable.
     fn of(entry: &reader::Entry) -> Self {
         let field = |name: &str| entry.document.get(name);
--- a/src/client/entries.rs
+++ b/src/client/entries.rs
@@ -81,7 +81,7 @@
         place: usize,
         count: u32,
     ) -> Result<api::Tickets, client::ClientError> {
-        let body = http::Body::json(&api::TicketOrder { count });
+        let body = http::Body::json(&api::TicketRequest { count });
         let call = http::Call::post(self.address(place), "/v1/tickets", body, TICKET_CALL);
         self.call(call).await?.expect_json()
     }
@@ -137,7 +137,7 @@
         place: usize,
         ids: &[ids::SubmissionId],
     ) -> Result<Vec<api::Answer>, client::ClientError> {
-        let order = api::CancelOrder {
+        let order = api::CancelRequest {
             submissions: ids.to_vec(),
         };
         let body = http::Body::json(&order);
--- a/src/cmd/answer.rs
+++ b/src/cmd/answer.rs
@@ -92,13 +92,13 @@
 }
 
 /// The fate as it stands in the API.
-const fn fate(fate: api::Fate) -> &'static str {
+const fn fate(fate: api::TaskOutcome) -> &'static str {
     match fate {
-        api::Fate::Pending => "pending",
-        api::Fate::Ran => "ran",
-        api::Fate::Failed => "failed",
-        api::Fate::NotRun => "not_run",
-        api::Fate::MayHaveRun => "may_have_run",
+        api::TaskOutcome::Pending => "pending",
+        api::TaskOutcome::Ran => "ran",
+        api::TaskOutcome::Failed => "failed",
+        api::TaskOutcome::NotRun => "not_run",
+        api::TaskOutcome::MayHaveRun => "may_have_run",
     }
 }
 
--- a/src/cmd/audit/mod.rs
+++ b/src/cmd/audit/mod.rs
@@ -76,7 +76,7 @@
 }
 
 /// The change that an event is about, and how it ended.
-const fn change_in(event: &audit::Event) -> Option<(&event::Made, change::Ending)> {
+const fn change_in(event: &audit::Event) -> Option<(&event::ChangeInfo, change::Ending)> {
     match event {
         audit::Event::Accepted { made, .. } => Some((made, change::Ending::Accepted)),
         audit::Event::Rejected { made, .. } => Some((made, change::Ending::Rejected)),
--- a/src/cmd/audit/render.rs
+++ b/src/cmd/audit/render.rs
@@ -70,7 +70,7 @@
     }
 }
 
-fn describe(made: &event::Made) -> String {
+fn describe(made: &event::ChangeInfo) -> String {
     let shown = |text: &SmolStr| cli::out::cell(Some(text).filter(|text| !text.is_empty()));
     let action = if made.removed { "remove" } else { "put" };
     let time = show_time(made.time_ms);
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -213,7 +213,7 @@
         let listener = net::TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
         let peer_address = peer_listener.local_addr()?;
-        let snapshot = heartbeats::Snapshot::default();
+        let snapshot = heartbeats::SettingsSnapshot::default();
         let incarnation = me.incarnation;
         let parts = entry::control::Parts {
             me,
--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -233,9 +233,9 @@
         self.judge_end(now_ms, number, &flight, run_ms, code);
         let place = self.place_of(flight.runner);
         let fate = match code.class() {
-            codes::Class::Complete => api::Fate::Ran,
+            codes::Class::Complete => api::TaskOutcome::Ran,
             codes::Class::MayHaveRun => return self.lost(now_ms, &flight, code),
-            _ => api::Fate::Failed,
+            _ => api::TaskOutcome::Failed,
         };
         let code = self.cause_of(flight.task, code);
         let decided = jobs::Decided {
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -79,7 +79,7 @@
 
 impl core::Core {
     /// Tickets, each of which only the life that minted it may ever start.
-    pub fn tickets(&mut self, now_ms: u64, order: &api::TicketOrder) -> api::Tickets {
+    pub fn tickets(&mut self, now_ms: u64, order: &api::TicketRequest) -> api::Tickets {
         let count = order.count.clamp(1, MAX_TICKETS);
         let leader = self.leader_to_pass_to(now_ms);
         let ticket = |_| self.ticket_ahead(now_ms, leader.as_ref());
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -47,7 +47,7 @@
     /// The traffic threads.
     pub pool: sync::Arc<outgoing::Pool>,
     /// Where the traffic threads see the settings.
-    pub snapshot: heartbeats::Snapshot,
+    pub snapshot: heartbeats::SettingsSnapshot,
 }
 
 /// The actor.
--- a/src/entry/hearing.rs
+++ b/src/entry/hearing.rs
@@ -131,7 +131,7 @@
         self.contacts.record_reply(now_ms, &message.address, &reply);
         let is_behind = self
             .core
-            .heartbeat_answered(now_ms, message.asked_ms, &reply);
+            .heartbeat_answered(now_ms, message.sent_at_ms, &reply);
         self.publish_first();
         if is_behind || self.keeper.is_missing_records() {
             let position = self.keeper.state().position();
@@ -163,7 +163,7 @@
         if let Some(batch) = message.batch {
             let taken = self.keeper.apply_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
-                self.core.freshness().record_log_read(message.asked_ms);
+                self.core.freshness().record_log_read(message.sent_at_ms);
             }
             if taken.is_changed {
                 self.settings_changed(cx);
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -30,7 +30,7 @@
     /// The control thread.
     pub control: actix::Addr<control::Control>,
     /// The settings in force.
-    pub snapshot: heartbeats::Snapshot,
+    pub snapshot: heartbeats::SettingsSnapshot,
     /// This entry's life.
     pub incarnation: ids::Incarnation,
 }
@@ -285,7 +285,7 @@
 ) -> actix_web::HttpResponse {
     let work = async {
         let team = shared.team(&req)?;
-        let order: api::CancelOrder = shared.read(payload).await?;
+        let order: api::CancelRequest = shared.read(payload).await?;
         if order.submissions.len() > MAX_CANCELS {
             let detail = format!("at most {MAX_CANCELS} submissions");
             return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
--- a/src/entry/messages.rs
+++ b/src/entry/messages.rs
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Result<api::Tickets, codes::Code>")]
-pub struct WantTickets(pub api::TicketOrder);
+pub struct WantTickets(pub api::TicketRequest);
 
 /// Another process says that it is there.
 #[derive(Debug)]
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -19,24 +19,24 @@
 }
 
 impl Freshness {
-    /// The log was read to its end by a question sent at `asked_ms`.
-    pub fn record_log_read(&mut self, asked_ms: u64) {
-        self.log_at_ms = self.log_at_ms.max(Some(asked_ms));
+    /// The log was read to its end by a question sent at `sent_at_ms`.
+    pub fn record_log_read(&mut self, sent_at_ms: u64) {
+        self.log_at_ms = self.log_at_ms.max(Some(sent_at_ms));
     }
 
-    /// A process answered a question sent at `asked_ms`.
+    /// A process answered a question sent at `sent_at_ms`.
     ///
     /// A process without any evidence has never had settings: it started while the
     /// log was down. Were its answer to count, all processes replaced at once would
     /// assure each other of default settings and start work in zones that are out.
-    pub fn record_reply(&mut self, asked_ms: u64, is_foreign: bool, evidence: wire::Evidence) {
+    pub fn record_reply(&mut self, sent_at_ms: u64, is_foreign: bool, evidence: wire::Evidence) {
         if evidence.log_age_ms.is_none() && evidence.foreign_age_ms.is_none() {
             return;
         }
-        let at = |age: Option<u64>| age.and_then(|age| asked_ms.checked_sub(age));
+        let at = |age: Option<u64>| age.and_then(|age| sent_at_ms.checked_sub(age));
         self.log_at_ms = self.log_at_ms.max(at(evidence.log_age_ms));
         let foreign = if is_foreign {
-            Some(asked_ms)
+            Some(sent_at_ms)
         } else {
             at(evidence.foreign_age_ms)
         };
--- a/src/heartbeats.rs
+++ b/src/heartbeats.rs
@@ -20,7 +20,7 @@
     /// Where it was sent.
     pub address: SmolStr,
     /// When it was sent, monotonic milliseconds.
-    pub asked_ms: u64,
+    pub sent_at_ms: u64,
     /// The answer.
     pub reply: Option<wire::HeartbeatReply>,
 }
@@ -46,7 +46,7 @@
     done: actix::Recipient<HeartbeatDone>,
 ) {
     pool.run(move |client| async move {
-        let asked_ms = clock.now_ms();
+        let sent_at_ms = clock.now_ms();
         let address = target.address;
         let path = wire::HEARTBEAT_PATH;
         let reply = if target.needs_new_connection {
@@ -59,7 +59,7 @@
         }
         done.do_send(HeartbeatDone {
             address,
-            asked_ms,
+            sent_at_ms,
             reply: reply.ok(),
         });
     });
@@ -94,4 +94,4 @@
 
 /// The settings as the traffic threads see them: a copy of what is in force, none
 /// before there are any.
-pub type Snapshot = sync::Arc<sync::RwLock<Option<sync::Arc<settings::Settings>>>>;
+pub type SettingsSnapshot = sync::Arc<sync::RwLock<Option<sync::Arc<settings::Settings>>>>;
--- a/src/jobs/answer.rs
+++ b/src/jobs/answer.rs
@@ -57,7 +57,7 @@
 
 /// The weakest promise decides: what may have run, then what ran, then what did not.
 fn overall(decided: &[&jobs::Decided]) -> codes::Code {
-    let code_of = |fate: api::Fate| {
+    let code_of = |fate: api::TaskOutcome| {
         let mut codes = decided
             .iter()
             .filter(|one| one.fate == fate)
@@ -65,11 +65,11 @@
         let first = codes.clone().next();
         codes.find(|code| !is_consequence(*code)).or(first)
     };
-    let ran = code_of(api::Fate::Ran);
+    let ran = code_of(api::TaskOutcome::Ran);
     match (
-        code_of(api::Fate::MayHaveRun),
-        code_of(api::Fate::Failed),
-        code_of(api::Fate::NotRun),
+        code_of(api::TaskOutcome::MayHaveRun),
+        code_of(api::TaskOutcome::Failed),
+        code_of(api::TaskOutcome::NotRun),
     ) {
         (Some(lost), _, _) => lost,
         (None, Some(failed), _) => failed,
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decided {
     /// What became of it.
-    pub fate: api::Fate,
+    pub fate: api::TaskOutcome,
     /// Why.
     pub code: codes::Code,
     /// What the backend server answered.
@@ -86,7 +86,7 @@
     /// It was not started and never will be.
     pub const fn not_run(code: codes::Code) -> Self {
         Self {
-            fate: api::Fate::NotRun,
+            fate: api::TaskOutcome::NotRun,
             code,
             output: String::new(),
             run_ms: 0,
@@ -97,7 +97,7 @@
     /// It may have been started and won't be again.
     pub const fn may_have_run(code: codes::Code, place: Option<Place>) -> Self {
         Self {
-            fate: api::Fate::MayHaveRun,
+            fate: api::TaskOutcome::MayHaveRun,
             code,
             output: String::new(),
             run_ms: 0,
@@ -202,10 +202,10 @@
     /// whatever became of the attempts after it.
     pub fn decide(&mut self, now_ms: u64, index: u32, decided: Decided) {
         let decided = match self.lost.get(&index) {
-            Some(lost) if decided.fate == api::Fate::NotRun => lost.clone(),
+            Some(lost) if decided.fate == api::TaskOutcome::NotRun => lost.clone(),
             _ => decided,
         };
-        if !matches!(decided.fate, api::Fate::Ran) {
+        if !matches!(decided.fate, api::TaskOutcome::Ran) {
             self.give_up(now_ms, decided.code);
         }
         self.set(index, Progress::Decided(decided));
--- a/src/jobs/summary.rs
+++ b/src/jobs/summary.rs
@@ -12,7 +12,7 @@
 /// Tasks in a row with the same fate for the same reason.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Run {
-    fate: api::Fate,
+    fate: api::TaskOutcome,
     code: codes::Code,
     count: u32,
 }
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -238,7 +238,7 @@
         }
         let done = cx.address().recipient();
         let own = self.core.me().name.clone();
-        streams::search(&self.parts.pool, self.parts.log.clone(), own, done);
+        streams::find_entries(&self.parts.pool, self.parts.log.clone(), own, done);
     }
 
     fn renew_leases(&self, cx: &actix::Context<Self>) {
--- a/src/runner/hearing.rs
+++ b/src/runner/hearing.rs
@@ -67,7 +67,7 @@
         let evidence = reply.evidence;
         self.core
             .freshness()
-            .record_reply(message.asked_ms, is_foreign, evidence);
+            .record_reply(message.sent_at_ms, is_foreign, evidence);
     }
 }
 
@@ -94,7 +94,7 @@
         if let Some(batch) = message.batch {
             let taken = self.keeper.apply_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
-                self.core.freshness().record_log_read(message.asked_ms);
+                self.core.freshness().record_log_read(message.sent_at_ms);
             }
             if taken.is_changed {
                 self.settings_changed(cx);
--- a/src/streams.rs
+++ b/src/streams.rs
@@ -33,7 +33,7 @@
 #[rtype(result = "u64")]
 pub struct LogRead {
     /// When the question was sent, monotonic milliseconds.
-    pub asked_ms: u64,
+    pub sent_at_ms: u64,
     /// What was read; absent: there was no answer.
     pub batch: Option<reader::Batch>,
 }
@@ -58,7 +58,7 @@
         let mut client = outgoing::client();
         let mut position = 0;
         loop {
-            let asked_ms = clock.now_ms();
+            let sent_at_ms = clock.now_ms();
             let query = Query {
                 stream: record::STREAM,
                 from: position,
@@ -69,7 +69,7 @@
             };
             let batch = read(&client, &log, query).await.map(reader::Batch::from);
             let is_answered = batch.is_some();
-            if let Ok(next) = done.send(LogRead { asked_ms, batch }).await {
+            if let Ok(next) = done.send(LogRead { sent_at_ms, batch }).await {
                 position = next;
             } else {
                 return;
@@ -92,7 +92,7 @@
     done: actix::Recipient<LogRead>,
 ) {
     pool.run(move |_client| async move {
-        let asked_ms = clock.now_ms();
+        let sent_at_ms = clock.now_ms();
         let query = Query {
             stream: record::STREAM,
             from: position,
@@ -103,7 +103,7 @@
         };
         let page = read(&outgoing::client(), &log, query).await;
         let batch = page.map(reader::Batch::from);
-        if done.send(LogRead { asked_ms, batch }).await.is_err() {
+        if done.send(LogRead { sent_at_ms, batch }).await.is_err() {
             log::debug!(event = "log.read_unwanted"; "the process is ending");
         }
     });
@@ -138,7 +138,7 @@
 }
 
 /// Reads which entries announced themselves last.
-pub fn search(
+pub fn find_entries(
     pool: &outgoing::Pool,
     log: SmolStr,
     own: SmolStr,
--- a/tests/cli/fake_entry.rs
+++ b/tests/cli/fake_entry.rs
@@ -189,7 +189,7 @@
 
 fn answer(code: codes::Code, submission: Option<ids::SubmissionId>) -> api::Answer {
     let ran = api::TaskAnswer {
-        fate: api::Fate::Ran,
+        fate: api::TaskOutcome::Ran,
         code,
         output: Some("stone fits".to_owned()),
         runner: Some(SmolStr::new("runner-1")),
--- a/tests/failure/answers.rs
+++ b/tests/failure/answers.rs
@@ -22,7 +22,7 @@
     let answer = told.submit(&rig, 0).expect("an answer");
 
     assert_eq!(answer.code, codes::Code::TaskFailed);
-    assert_eq!(answer.tasks[10].fate, api::Fate::Failed);
+    assert_eq!(answer.tasks[10].fate, api::TaskOutcome::Failed);
     assert_eq!(answer.tasks.len(), 60);
     check::check(&rig, &[&told]);
 }
--- a/tests/failure/check.rs
+++ b/tests/failure/check.rs
@@ -168,10 +168,10 @@
     }
     for ((task, one), count) in answer.tasks.iter().zip(&told.submission.tasks).zip(begun) {
         let is_right = match task.fate {
-            api::Fate::Ran | api::Fate::Failed => *count > 0,
-            api::Fate::NotRun => *count == 0,
-            api::Fate::MayHaveRun => true,
-            api::Fate::Pending => !answer.is_final,
+            api::TaskOutcome::Ran | api::TaskOutcome::Failed => *count > 0,
+            api::TaskOutcome::NotRun => *count == 0,
+            api::TaskOutcome::MayHaveRun => true,
+            api::TaskOutcome::Pending => !answer.is_final,
         };
         assert!(
             is_right,
@@ -179,7 +179,7 @@
         );
         let output = task.output.as_deref();
         if is_complete {
-            assert_eq!(task.fate, api::Fate::Ran);
+            assert_eq!(task.fate, api::TaskOutcome::Ran);
             let expected = output.is_some_and(|output| one.payload.contains(output));
             assert!(expected, "another task's output: {output:?} to {one:?}");
         } else {
--- a/tests/failure/starts.rs
+++ b/tests/failure/starts.rs
@@ -165,8 +165,8 @@
 
     assert_eq!(answer.code, codes::Code::RunnerLost);
     let count = |fate| answer.tasks.iter().filter(|task| task.fate == fate).count();
-    assert!(count(api::Fate::MayHaveRun) >= 8, "{answer:?}");
-    assert!(count(api::Fate::NotRun) >= 20, "{answer:?}");
+    assert!(count(api::TaskOutcome::MayHaveRun) >= 8, "{answer:?}");
+    assert!(count(api::TaskOutcome::NotRun) >= 20, "{answer:?}");
     check::check(&rig, &[&told]);
 }
 
--- a/tests/failure/stops.rs
+++ b/tests/failure/stops.rs
@@ -204,6 +204,10 @@
     rig.workers[at].thaw().expect("it goes on");
 
     assert!(exit.expect("it ends").success());
-    assert_eq!(answer.tasks[0].fate, api::Fate::MayHaveRun, "{answer:?}");
+    assert_eq!(
+        answer.tasks[0].fate,
+        api::TaskOutcome::MayHaveRun,
+        "{answer:?}"
+    );
     check::check(&rig, &[&told]);
 }
--- a/tests/failure/truth.rs
+++ b/tests/failure/truth.rs
@@ -40,7 +40,7 @@
     });
     let answer = told.submit_until_final(&rig, 0);
 
-    assert_eq!(answer.tasks[0].fate, api::Fate::MayHaveRun);
+    assert_eq!(answer.tasks[0].fate, api::TaskOutcome::MayHaveRun);
     relay.mend();
     check::check(&rig, &[&told]);
 }
@@ -81,7 +81,11 @@
     rig.workers.remove(worker);
     let answer = told.submit_until_final(&rig, 0);
 
-    assert_eq!(answer.tasks[0].fate, api::Fate::MayHaveRun, "{answer:?}");
+    assert_eq!(
+        answer.tasks[0].fate,
+        api::TaskOutcome::MayHaveRun,
+        "{answer:?}"
+    );
     assert_eq!(
         rig.starts_of(told.payload(0)),
         0,
--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -131,12 +131,20 @@
 // be told what became of it, and no second certified copy be issued: the outputs are gone,
 // the tasks' fates are not.
 #[rstest]
-#[case::complete(codes::Code::Complete, codes::Code::OutputsExpired, api::Fate::Ran)]
-#[case::failed(codes::Code::TaskFailed, codes::Code::TaskFailed, api::Fate::Failed)]
+#[case::complete(
+    codes::Code::Complete,
+    codes::Code::OutputsExpired,
+    api::TaskOutcome::Ran
+)]
+#[case::failed(
+    codes::Code::TaskFailed,
+    codes::Code::TaskFailed,
+    api::TaskOutcome::Failed
+)]
 fn late_repeat_is_told_the_fates_and_starts_nothing(
     #[case] last: codes::Code,
     #[case] expected: codes::Code,
-    #[case] fate: api::Fate,
+    #[case] fate: api::TaskOutcome,
 ) {
     let (mut entry, id) = ended(last);
     pass(&mut entry, 0, WHOLE_MS);
@@ -149,7 +157,7 @@
     assert_eq!(answer.code, expected);
     assert!(answer.is_final);
     assert_eq!(answer.submission, Some(id));
-    assert_eq!(fates, [api::Fate::Ran, api::Fate::Ran, fate]);
+    assert_eq!(fates, [api::TaskOutcome::Ran, api::TaskOutcome::Ran, fate]);
     assert!(answer.tasks.iter().all(|task| task.output.is_none()));
 }
 
--- a/tests/unit/dispatching/callers.rs
+++ b/tests/unit/dispatching/callers.rs
@@ -63,7 +63,7 @@
         }
         let number = self.callers.len();
         let has_ticket = self.entries.len() == 1 || self.rng.random_range(0..2) == 0;
-        let order = api::TicketOrder { count: 1 };
+        let order = api::TicketRequest { count: 1 };
         let core = &mut self.entries[entry].core;
         let ticket = has_ticket.then(|| core.tickets(self.now_ms, &order).tickets.remove(0));
         let tasks = self.rng.random_range(1..5);
@@ -351,17 +351,20 @@
         for (index, task) in (0..).zip(&answer.tasks) {
             let count = self.begun(number, index);
             let is_true = match task.fate {
-                api::Fate::Ran | api::Fate::Failed => count > 0,
-                api::Fate::NotRun => count == 0,
-                api::Fate::MayHaveRun => true,
-                api::Fate::Pending => false,
+                api::TaskOutcome::Ran | api::TaskOutcome::Failed => count > 0,
+                api::TaskOutcome::NotRun => count == 0,
+                api::TaskOutcome::MayHaveRun => true,
+                api::TaskOutcome::Pending => false,
             };
             assert!(
                 is_true,
                 "{number} {index} started {count} times, answered {task:?}"
             );
         }
-        let has_run = answer.tasks.iter().all(|task| task.fate == api::Fate::Ran);
+        let has_run = answer
+            .tasks
+            .iter()
+            .all(|task| task.fate == api::TaskOutcome::Ran);
         assert_eq!(answer.code == codes::Code::Complete, has_run);
     }
 }
--- a/tests/unit/due.rs
+++ b/tests/unit/due.rs
@@ -25,14 +25,18 @@
 enum Step {
     Insert { deadline_ms: u64, tasks: Vec<Task> },
     GiveUp(usize),
-    Decide(usize, u32, api::Fate),
+    Decide(usize, u32, api::TaskOutcome),
     Settle(usize),
     Learn([Option<u64>; 3], u64),
     Wait(u64),
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let fate = proptest::sample::select(vec![api::Fate::Ran, api::Fate::Ran, api::Fate::Failed]);
+    let fate = proptest::sample::select(vec![
+        api::TaskOutcome::Ran,
+        api::TaskOutcome::Ran,
+        api::TaskOutcome::Failed,
+    ]);
     let tasks = collection::vec((0_usize..3, 0_u32..400), 1..4);
     let learned = proptest::array::uniform3(proptest::option::of(0_u64..900));
     prop_oneof![
@@ -179,7 +183,7 @@
     }
 }
 
-fn decided(fate: api::Fate) -> jobs::Decided {
+fn decided(fate: api::TaskOutcome) -> jobs::Decided {
     jobs::Decided {
         fate,
         ..jobs::Decided::not_run(codes::Code::TaskFailed)
--- a/tests/unit/freshness.rs
+++ b/tests/unit/freshness.rs
@@ -74,11 +74,11 @@
     Step(Step),
     Arrives {
         step: Step,
-        asked_ms: u64,
+        sent_at_ms: u64,
     },
     Answered {
         process: usize,
-        asked_ms: u64,
+        sent_at_ms: u64,
         reply: Reply,
     },
 }
@@ -130,17 +130,17 @@
     fn happens(&mut self, now_ms: u64, event: Event) {
         match event {
             Event::Step(step) => self.step(now_ms, step),
-            Event::Arrives { step, asked_ms } => self.arrives(now_ms, step, asked_ms),
+            Event::Arrives { step, sent_at_ms } => self.arrives(now_ms, step, sent_at_ms),
             Event::Answered {
                 process,
-                asked_ms,
+                sent_at_ms,
                 ref reply,
             } => {
                 let thaw_ms = self.processes[process].frozen_until_ms;
                 if thaw_ms > now_ms {
                     self.schedule(thaw_ms, event);
                 } else {
-                    self.answered(process, asked_ms, reply);
+                    self.answered(process, sent_at_ms, reply);
                 }
             }
         }
@@ -153,19 +153,19 @@
             Kind::Freeze(ms) => process.frozen_until_ms = process.frozen_until_ms.max(now_ms + ms),
             Kind::Ask(to) if to == step.process => {}
             Kind::Ask(_) | Kind::AskLog if process.frozen_until_ms <= now_ms => {
-                let asked_ms = now_ms;
-                self.schedule(now_ms + step.there_ms, Event::Arrives { step, asked_ms });
+                let sent_at_ms = now_ms;
+                self.schedule(now_ms + step.there_ms, Event::Arrives { step, sent_at_ms });
             }
             Kind::Ask(_) | Kind::AskLog => {}
         }
     }
 
-    fn arrives(&mut self, now_ms: u64, step: Step, asked_ms: u64) {
+    fn arrives(&mut self, now_ms: u64, step: Step, sent_at_ms: u64) {
         let reply = if let Kind::Ask(to) = step.kind {
             let other = &self.processes[to];
             if other.frozen_until_ms > now_ms {
                 let thaw_ms = other.frozen_until_ms;
-                self.schedule(thaw_ms, Event::Arrives { step, asked_ms });
+                self.schedule(thaw_ms, Event::Arrives { step, sent_at_ms });
                 return;
             }
             let mut heard = other.heard;
@@ -187,7 +187,7 @@
         };
         let answered = Event::Answered {
             process: step.process,
-            asked_ms,
+            sent_at_ms,
             reply,
         };
         self.schedule(now_ms + step.back_ms, answered);
@@ -195,19 +195,19 @@
 
     /// The rule of the control threads: a later revision is taken over and is no
     /// evidence; the log's answer is applied whole.
-    fn answered(&mut self, index: usize, asked_ms: u64, reply: &Reply) {
+    fn answered(&mut self, index: usize, sent_at_ms: u64, reply: &Reply) {
         let process = &mut self.processes[index];
-        let asked_ms = local(index, asked_ms);
+        let sent_at_ms = local(index, sent_at_ms);
         let is_behind = reply.revision > process.revision;
         match reply.from {
             None if reply.revision >= process.revision => {
-                process.freshness.record_log_read(asked_ms)
+                process.freshness.record_log_read(sent_at_ms)
             }
             Some((from, evidence)) if !is_behind => {
                 let is_foreign = zone(from) != zone(index);
                 process
                     .freshness
-                    .record_reply(asked_ms, is_foreign, evidence);
+                    .record_reply(sent_at_ms, is_foreign, evidence);
             }
             None | Some(_) => {}
         }
--- a/tests/unit/jobs.rs
+++ b/tests/unit/jobs.rs
@@ -16,7 +16,7 @@
 enum Step {
     Dispatched(usize),
     Lost(usize),
-    Decided(usize, api::Fate),
+    Decided(usize, api::TaskOutcome),
 }
 
 impl Step {
@@ -29,12 +29,12 @@
 fn any_step() -> impl Strategy<Value = Step> {
     let at = 0_usize..5;
     let fates = [
-        api::Fate::Ran,
-        api::Fate::Ran,
-        api::Fate::Ran,
-        api::Fate::Failed,
-        api::Fate::NotRun,
-        api::Fate::MayHaveRun,
+        api::TaskOutcome::Ran,
+        api::TaskOutcome::Ran,
+        api::TaskOutcome::Ran,
+        api::TaskOutcome::Failed,
+        api::TaskOutcome::NotRun,
+        api::TaskOutcome::MayHaveRun,
     ];
     let fate = proptest::sample::select(fates.to_vec());
     prop_oneof![
@@ -60,11 +60,11 @@
     }
 }
 
-fn decided(fate: api::Fate, index: usize) -> jobs::Decided {
+fn decided(fate: api::TaskOutcome, index: usize) -> jobs::Decided {
     let code = match fate {
-        api::Fate::Ran => codes::Code::Complete,
-        api::Fate::Failed => codes::Code::TaskFailed,
-        api::Fate::NotRun => codes::Code::DeadlineNotRun,
+        api::TaskOutcome::Ran => codes::Code::Complete,
+        api::TaskOutcome::Failed => codes::Code::TaskFailed,
+        api::TaskOutcome::NotRun => codes::Code::DeadlineNotRun,
         _ => codes::Code::RunnerLost,
     };
     jobs::Decided {
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Default)]
 struct Naive {
     is_lost: bool,
-    fate: Option<api::Fate>,
+    fate: Option<api::TaskOutcome>,
 }
 
 fn run(tasks: usize, steps: &[Step]) -> Result<(), test_runner::TestCaseError> {
@@ -107,7 +107,7 @@
             Step::Decided(at, fate) if at < tasks => {
                 open.decide(1, index, decided(fate, at));
                 let truth = match fate {
-                    api::Fate::NotRun if naive[at].is_lost => api::Fate::MayHaveRun,
+                    api::TaskOutcome::NotRun if naive[at].is_lost => api::TaskOutcome::MayHaveRun,
                     fate => fate,
                 };
                 naive[at].fate.get_or_insert(truth);
@@ -129,15 +129,18 @@
     Ok(())
 }
 
-fn check(answer: &api::Answer, fates: &[api::Fate]) -> Result<(), test_runner::TestCaseError> {
+fn check(
+    answer: &api::Answer,
+    fates: &[api::TaskOutcome],
+) -> Result<(), test_runner::TestCaseError> {
     let told: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
     let all = |wanted| fates.iter().all(|fate| *fate == wanted);
     let any = |wanted| fates.contains(&wanted);
-    let expected = if all(api::Fate::Ran) {
+    let expected = if all(api::TaskOutcome::Ran) {
         codes::Class::Complete
-    } else if all(api::Fate::NotRun) {
+    } else if all(api::TaskOutcome::NotRun) {
         codes::Class::NotRun
-    } else if any(api::Fate::MayHaveRun) {
+    } else if any(api::TaskOutcome::MayHaveRun) {
         codes::Class::MayHaveRun
     } else {
         codes::Class::Failed
--- a/tests/unit/stops/entry.rs
+++ b/tests/unit/stops/entry.rs
@@ -261,9 +261,9 @@
             let fates: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
             let out = handed_out.iter().filter(|(of, _)| *of == id).count();
             let count = |fate| fates.iter().filter(|one| **one == fate).count();
-            prop_assert_eq!(count(api::Fate::MayHaveRun), out);
-            prop_assert_eq!(count(api::Fate::Ran), taken.tasks - taken.left);
-            prop_assert_eq!(count(api::Fate::NotRun), taken.left - out);
+            prop_assert_eq!(count(api::TaskOutcome::MayHaveRun), out);
+            prop_assert_eq!(count(api::TaskOutcome::Ran), taken.tasks - taken.left);
+            prop_assert_eq!(count(api::TaskOutcome::NotRun), taken.left - out);
         }
         prop_assert_eq!(world.core.open(), 0);
         Ok(())
