--- a/src/client/follow.rs
+++ b/src/client/follow.rs
@@ -53,7 +53,7 @@
         let mut applied = Vec::new();
         loop {
             applied.extend(follower.next(time::Duration::ZERO).await?);
-            match follower.reader.status() {
+            match follower.reader.read_status() {
                 reader::ReadStatus::AtEnd => return Ok((follower, applied)),
                 reader::ReadStatus::Behind => {}
                 reader::ReadStatus::MissingRecords => follower.ask_entries(http, entries).await?,
@@ -70,7 +70,7 @@
         let (state, _why) = state_of_any(http, entries).await;
         let checkpoint = state.map(|state| state.checkpoint(""));
         let adopted = checkpoint.is_some_and(|found| self.reader.adopt(&found).is_ok());
-        if adopted && self.reader.status() == reader::ReadStatus::Behind {
+        if adopted && self.reader.read_status() == reader::ReadStatus::Behind {
             return Ok(());
         }
         let why = "old records have expired, and neither a checkpoint nor an entry covers them";
@@ -89,7 +89,7 @@
 
     /// Whether records expired before they were read.
     pub fn is_lacking(&self) -> bool {
-        self.reader.status() == reader::ReadStatus::MissingRecords
+        self.reader.read_status() == reader::ReadStatus::MissingRecords
     }
 
     /// Reads on, waiting up to `wait` for a record.
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -368,7 +368,7 @@
         }
         let is_foreign = reply.sender.zone != self.me.zone;
         self.freshness
-            .record_reply(asked_ms, is_foreign, reply.evidence);
+            .record_peer_reply(asked_ms, is_foreign, reply.evidence);
         false
     }
 
--- a/src/entry/hearing.rs
+++ b/src/entry/hearing.rs
@@ -148,7 +148,9 @@
     fn handle(&mut self, message: heartbeats::SettingsDone, cx: &mut Self::Context) {
         let heartbeats::SettingsDone { address, reply } = message;
         let (now_ms, unix_ms) = (self.now_ms(), clock::unix_ms());
-        let taken = self.keeper.apply_reply(now_ms, unix_ms, &address, reply);
+        let taken = self
+            .keeper
+            .apply_peer_reply(now_ms, unix_ms, &address, reply);
         if taken.is_changed {
             self.settings_changed(cx);
         }
@@ -161,7 +163,7 @@
     fn handle(&mut self, message: streams::LogRead, cx: &mut Self::Context) -> u64 {
         let now_ms = self.now_ms();
         if let Some(batch) = message.batch {
-            let taken = self.keeper.apply_batch(now_ms, clock::unix_ms(), batch);
+            let taken = self.keeper.apply_log_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
                 self.core.freshness().record_log_read(message.sent_at_ms);
             }
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -29,7 +29,12 @@
     /// A process without any evidence has never had settings: it started while the
     /// log was down. Were its answer to count, all processes replaced at once would
     /// assure each other of default settings and start work in zones that are out.
-    pub fn record_reply(&mut self, sent_at_ms: u64, is_foreign: bool, evidence: wire::Evidence) {
+    pub fn record_peer_reply(
+        &mut self,
+        sent_at_ms: u64,
+        is_foreign: bool,
+        evidence: wire::Evidence,
+    ) {
         if evidence.log_age_ms.is_none() && evidence.foreign_age_ms.is_none() {
             return;
         }
--- a/src/runner/hearing.rs
+++ b/src/runner/hearing.rs
@@ -67,7 +67,7 @@
         let evidence = reply.evidence;
         self.core
             .freshness()
-            .record_reply(message.sent_at_ms, is_foreign, evidence);
+            .record_peer_reply(message.sent_at_ms, is_foreign, evidence);
     }
 }
 
@@ -77,7 +77,9 @@
     fn handle(&mut self, message: heartbeats::SettingsDone, cx: &mut Self::Context) {
         let heartbeats::SettingsDone { address, reply } = message;
         let (now_ms, unix_ms) = (self.now_ms(), clock::unix_ms());
-        let taken = self.keeper.apply_reply(now_ms, unix_ms, &address, reply);
+        let taken = self
+            .keeper
+            .apply_peer_reply(now_ms, unix_ms, &address, reply);
         if taken.is_changed {
             self.settings_changed(cx);
         }
@@ -92,7 +94,7 @@
         let now_ms = self.now_ms();
         self.read_log_after_ms = now_ms + LOG_PAUSE_MS;
         if let Some(batch) = message.batch {
-            let taken = self.keeper.apply_batch(now_ms, clock::unix_ms(), batch);
+            let taken = self.keeper.apply_log_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
                 self.core.freshness().record_log_read(message.sent_at_ms);
             }
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -81,7 +81,7 @@
     /// The records that had their turn, in order.
     pub applied: Vec<Applied>,
     /// Where the reader stands now.
-    pub status: ReadStatus,
+    pub read_status: ReadStatus,
 }
 
 /// The latest checkpoint seen on the log.
@@ -97,7 +97,7 @@
 #[derive(Clone, Debug)]
 pub struct Reader {
     state: state::State,
-    status: ReadStatus,
+    read_status: ReadStatus,
     /// Next offset at which to look for a checkpoint, while records are missing.
     search: Option<u64>,
     /// Oldest kept offset, as far as known.
@@ -117,7 +117,7 @@
     pub const fn new(state: state::State, now_ms: u64) -> Self {
         Self {
             state,
-            status: ReadStatus::Behind,
+            read_status: ReadStatus::Behind,
             search: None,
             front: 0,
             mark: None,
@@ -135,8 +135,8 @@
     }
 
     /// Where the reader stood after the last batch.
-    pub const fn status(&self) -> ReadStatus {
-        self.status
+    pub const fn read_status(&self) -> ReadStatus {
+        self.read_status
     }
 
     /// Offset from which to read next.
@@ -149,10 +149,13 @@
         batch.entries.sort_by_key(|entry| entry.offset);
         self.front = self.front.max(batch.first);
         if batch.next < self.state.position() {
-            self.status = ReadStatus::Stale;
+            self.read_status = ReadStatus::Stale;
             let applied = Vec::new();
-            let status = self.status;
-            return BatchOutcome { applied, status };
+            let read_status = self.read_status;
+            return BatchOutcome {
+                applied,
+                read_status,
+            };
         }
         // Records between the position and the front are gone. To go on from the
         // front would lose their changes here and nowhere else.
@@ -166,9 +169,12 @@
         } else {
             Vec::new()
         };
-        self.status = self.status_at(batch.next);
-        let status = self.status;
-        BatchOutcome { applied, status }
+        self.read_status = self.status_at(batch.next);
+        let read_status = self.read_status;
+        BatchOutcome {
+            applied,
+            read_status,
+        }
     }
 
     /// Takes over the state of a peer, if it is further on.
@@ -179,7 +185,7 @@
         let adopted = self.state.adopt(checkpoint)?;
         if adopted && self.state.position() >= self.front {
             self.search = None;
-            self.status = ReadStatus::Behind;
+            self.read_status = ReadStatus::Behind;
         }
         Ok(adopted)
     }
@@ -203,7 +209,7 @@
         };
         if self.state.position() != before && self.state.position() >= self.front {
             self.search = None;
-            self.status = ReadStatus::Behind;
+            self.read_status = ReadStatus::Behind;
         }
         applied.into_iter().next()
     }
@@ -309,7 +315,7 @@
     }
 
     fn checkpoint_wanted(&self, now_ms: u64) -> bool {
-        if self.status != ReadStatus::AtEnd || self.state.position() == 0 {
+        if self.read_status != ReadStatus::AtEnd || self.state.position() == 0 {
             return false;
         }
         let seen_ms = self.mark.map_or(self.started_ms, |mark| mark.seen_ms);
--- a/src/settings_replica.rs
+++ b/src/settings_replica.rs
@@ -71,7 +71,7 @@
 
     /// Whether records expired before they were read, so that only a peer can help.
     pub fn is_missing_records(&self) -> bool {
-        self.reader.status() == reader::ReadStatus::MissingRecords
+        self.reader.read_status() == reader::ReadStatus::MissingRecords
     }
 
     /// One page of the audit trail.
@@ -80,10 +80,10 @@
     }
 
     /// Takes in what was read from the log.
-    pub fn apply_batch(&mut self, now_ms: u64, unix_ms: u64, batch: reader::Batch) -> Update {
+    pub fn apply_log_batch(&mut self, now_ms: u64, unix_ms: u64, batch: reader::Batch) -> Update {
         let before = self.state().revision();
         let taken = self.reader.apply_batch(now_ms, batch);
-        if taken.status == reader::ReadStatus::MissingRecords {
+        if taken.read_status == reader::ReadStatus::MissingRecords {
             log::warn!(event = "settings.lacking", position = self.state().position(); "records expired unread; asking peers");
         }
         for applied in taken.applied {
@@ -91,7 +91,7 @@
         }
         Update {
             is_changed: self.came_into_force(before, unix_ms),
-            is_at_end: taken.status == reader::ReadStatus::AtEnd,
+            is_at_end: taken.read_status == reader::ReadStatus::AtEnd,
         }
     }
 
@@ -140,7 +140,7 @@
     ///
     /// An older state than ours changes nothing, so a replaced or thawed peer can't
     /// bring an older revision back.
-    pub fn apply_reply(
+    pub fn apply_peer_reply(
         &mut self,
         now_ms: u64,
         unix_ms: u64,
--- a/tests/unit/audit.rs
+++ b/tests/unit/audit.rs
@@ -34,7 +34,7 @@
 fn reader_at_end(first: u64, documents: &[serde_json::Value]) -> settings::Reader {
     let mut reader = settings::Reader::new(settings::State::new(), 0);
     let taken = reader.apply_batch(0, fixtures::batch(first, documents));
-    assert_eq!(taken.status, reader::ReadStatus::AtEnd);
+    assert_eq!(taken.read_status, reader::ReadStatus::AtEnd);
     reader
 }
 
--- a/tests/unit/freshness.rs
+++ b/tests/unit/freshness.rs
@@ -74,11 +74,11 @@
     Step(Step),
     Arrives {
         step: Step,
-        sent_at_ms: u64,
+        sent_ms: u64,
     },
     Answered {
         process: usize,
-        sent_at_ms: u64,
+        sent_ms: u64,
         reply: Reply,
     },
 }
@@ -130,17 +130,17 @@
     fn happens(&mut self, now_ms: u64, event: Event) {
         match event {
             Event::Step(step) => self.step(now_ms, step),
-            Event::Arrives { step, sent_at_ms } => self.arrives(now_ms, step, sent_at_ms),
+            Event::Arrives { step, sent_ms } => self.arrives(now_ms, step, sent_ms),
             Event::Answered {
                 process,
-                sent_at_ms,
+                sent_ms,
                 ref reply,
             } => {
                 let thaw_ms = self.processes[process].frozen_until_ms;
                 if thaw_ms > now_ms {
                     self.schedule(thaw_ms, event);
                 } else {
-                    self.answered(process, sent_at_ms, reply);
+                    self.answered(process, sent_ms, reply);
                 }
             }
         }
@@ -153,19 +153,19 @@
             Kind::Freeze(ms) => process.frozen_until_ms = process.frozen_until_ms.max(now_ms + ms),
             Kind::Ask(to) if to == step.process => {}
             Kind::Ask(_) | Kind::AskLog if process.frozen_until_ms <= now_ms => {
-                let sent_at_ms = now_ms;
-                self.schedule(now_ms + step.there_ms, Event::Arrives { step, sent_at_ms });
+                let sent_ms = now_ms;
+                self.schedule(now_ms + step.there_ms, Event::Arrives { step, sent_ms });
             }
             Kind::Ask(_) | Kind::AskLog => {}
         }
     }
 
-    fn arrives(&mut self, now_ms: u64, step: Step, sent_at_ms: u64) {
+    fn arrives(&mut self, now_ms: u64, step: Step, sent_ms: u64) {
         let reply = if let Kind::Ask(to) = step.kind {
             let other = &self.processes[to];
             if other.frozen_until_ms > now_ms {
                 let thaw_ms = other.frozen_until_ms;
-                self.schedule(thaw_ms, Event::Arrives { step, sent_at_ms });
+                self.schedule(thaw_ms, Event::Arrives { step, sent_ms });
                 return;
             }
             let mut heard = other.heard;
@@ -187,7 +187,7 @@
         };
         let answered = Event::Answered {
             process: step.process,
-            sent_at_ms,
+            sent_ms,
             reply,
         };
         self.schedule(now_ms + step.back_ms, answered);
@@ -195,24 +195,21 @@
 
     /// The rule of the control threads: a later revision is taken over and is no
     /// evidence; the log's answer is applied whole.
-    fn answered(&mut self, index: usize, sent_at_ms: u64, reply: &Reply) {
-        let process = &mut self.processes[index];
-        let sent_at_ms = local(index, sent_at_ms);
-        let is_behind = reply.revision > process.revision;
+    fn answered(&mut self, index: usize, sent_ms: u64, reply: &Reply) {
+        let node = &mut self.processes[index];
+        let sent_ms = local(index, sent_ms);
+        let is_behind = reply.revision > node.revision;
         match reply.from {
-            None if reply.revision >= process.revision => {
-                process.freshness.record_log_read(sent_at_ms)
-            }
+            None if reply.revision >= node.revision => node.freshness.record_log_read(sent_ms),
             Some((from, evidence)) if !is_behind => {
                 let is_foreign = zone(from) != zone(index);
-                process
-                    .freshness
-                    .record_reply(sent_at_ms, is_foreign, evidence);
+                node.freshness
+                    .record_peer_reply(sent_ms, is_foreign, evidence);
             }
             None | Some(_) => {}
         }
-        process.revision = process.revision.max(reply.revision);
-        for (known, heard) in process.heard.iter_mut().zip(reply.heard) {
+        node.revision = node.revision.max(reply.revision);
+        for (known, heard) in node.heard.iter_mut().zip(reply.heard) {
             *known = (*known).max(heard);
         }
     }
@@ -269,7 +266,7 @@
 fn evidence_of_another_zone_lasts_from_the_question_on(#[case] now_ms: u64, #[case] fresh: bool) {
     let mut freshness = freshness::Freshness::default();
 
-    freshness.record_reply(5_000, true, KNOWS);
+    freshness.record_peer_reply(5_000, true, KNOWS);
 
     assert_eq!(freshness.is_fresh(now_ms, BOUND_MS), fresh);
 }
@@ -278,7 +275,7 @@
 fn evidence_of_the_same_zone_ages_on_its_way() {
     let mut freshness = freshness::Freshness::default();
 
-    freshness.record_reply(5_000, false, KNOWS);
+    freshness.record_peer_reply(5_000, false, KNOWS);
 
     assert!(freshness.is_fresh(4_900 + BOUND_MS, BOUND_MS));
     assert!(!freshness.is_fresh(4_901 + BOUND_MS, BOUND_MS));
@@ -291,7 +288,7 @@
 fn process_without_settings_is_no_evidence() {
     let mut freshness = freshness::Freshness::default();
 
-    freshness.record_reply(5_000, true, wire::Evidence::default());
+    freshness.record_peer_reply(5_000, true, wire::Evidence::default());
 
     assert!(!freshness.has_evidence());
     assert!(!freshness.is_fresh(5_000, BOUND_MS));
--- a/tests/unit/settings/reader.rs
+++ b/tests/unit/settings/reader.rs
@@ -26,7 +26,7 @@
 fn at_end(now_ms: u64, documents: &[serde_json::Value]) -> settings::Reader {
     let mut reader = follower();
     let taken = reader.apply_batch(now_ms, fixtures::batch(0, documents));
-    assert_eq!(taken.status, reader::ReadStatus::AtEnd);
+    assert_eq!(taken.read_status, reader::ReadStatus::AtEnd);
     reader
 }
 
@@ -46,7 +46,7 @@
     let taken = reader.apply_batch(1, fixtures::batch(3, &log[3..]));
 
     assert_eq!(
-        (taken.applied.len(), taken.status),
+        (taken.applied.len(), taken.read_status),
         (0, reader::ReadStatus::MissingRecords)
     );
     assert_eq!((reader.state().position(), reader.read_from()), (1, 6));
@@ -62,7 +62,7 @@
 
     let taken = reader.apply_batch(1, fixtures::batch(4, &log[4..]));
 
-    assert_eq!(taken.status, reader::ReadStatus::AtEnd);
+    assert_eq!(taken.read_status, reader::ReadStatus::AtEnd);
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
 
@@ -78,9 +78,9 @@
         entries: fixtures::entries(from as u64, &log[from..to]),
     };
 
-    let first = reader.apply_batch(1, part(3, 5)).status;
+    let first = reader.apply_batch(1, part(3, 5)).read_status;
     let from = reader.read_from();
-    let second = reader.apply_batch(2, part(5, 6)).status;
+    let second = reader.apply_batch(2, part(5, 6)).read_status;
 
     assert_eq!(
         (first, from, second),
@@ -97,7 +97,7 @@
     let taken = reader.apply_batch(1, fixtures::batch(4, &[early]));
 
     assert_eq!(
-        (taken.status, reader.state().position()),
+        (taken.read_status, reader.state().position()),
         (reader::ReadStatus::MissingRecords, 0)
     );
 }
@@ -112,7 +112,7 @@
     let taken = reader.apply_batch(1, fixtures::batch(4, &[ahead]));
 
     assert_eq!(
-        (taken.status, reader.state().position()),
+        (taken.read_status, reader.state().position()),
         (reader::ReadStatus::MissingRecords, 0)
     );
 }
@@ -129,7 +129,7 @@
     let taken = reader.apply_batch(2, fixtures::batch(4, &log[4..]));
 
     assert_eq!(
-        (adopted, from, taken.status),
+        (adopted, from, taken.read_status),
         (Ok(true), 5, reader::ReadStatus::AtEnd)
     );
     assert_eq!(reader.state(), at_end(0, &log).state());
@@ -146,7 +146,7 @@
     let taken = reader.apply_batch(0, shuffled);
 
     assert_eq!(
-        (taken.applied.len(), taken.status),
+        (taken.applied.len(), taken.read_status),
         (4, reader::ReadStatus::AtEnd)
     );
     assert_eq!(reader.state(), at_end(0, &log).state());
@@ -162,7 +162,7 @@
 
     let taken = reader.apply_batch(1, fixtures::batch(0, &log[..2]));
 
-    assert_eq!(taken.status, reader::ReadStatus::Stale);
+    assert_eq!(taken.read_status, reader::ReadStatus::Stale);
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
 
--- a/tests/unit/settings/replicas.rs
+++ b/tests/unit/settings/replicas.rs
@@ -287,7 +287,7 @@
     }
     world.settle();
     for replica in &world.replicas {
-        prop_assert_eq!(replica.status(), reader::ReadStatus::AtEnd);
+        prop_assert_eq!(replica.read_status(), reader::ReadStatus::AtEnd);
         prop_assert_eq!(replica.state(), world.replicas[0].state());
         check_replica(&world, replica)?;
     }
--- a/tests/unit/settings_replica.rs
+++ b/tests/unit/settings_replica.rs
@@ -40,7 +40,7 @@
     keeper: &mut settings_replica::SettingsReplica,
     documents: &[serde_json::Value],
 ) -> settings_replica::Update {
-    keeper.apply_batch(1, 1, fixtures::batch(0, documents))
+    keeper.apply_log_batch(1, 1, fixtures::batch(0, documents))
 }
 
 fn query(keeper: &settings_replica::SettingsReplica) -> wire::SettingsQuery {
@@ -55,7 +55,7 @@
     asked: &settings_replica::SettingsReplica,
 ) -> settings_replica::Update {
     let reply = asked.reply(&query(asker));
-    asker.apply_reply(1, 1, &SmolStr::new_static("peer"), reply)
+    asker.apply_peer_reply(1, 1, &SmolStr::new_static("peer"), reply)
 }
 
 #[test]
@@ -153,7 +153,7 @@
         state: Some(old.state().checkpoint("old")),
     };
 
-    let taken = new.apply_reply(2, 2, &SmolStr::new_static("old"), reply);
+    let taken = new.apply_peer_reply(2, 2, &SmolStr::new_static("old"), reply);
 
     assert!(!taken.is_changed);
     assert_eq!(new.state().revision(), in_force);
@@ -184,7 +184,7 @@
 fn trail_tells_what_is_in_force_where_and_when() {
     let mut keeper = keeper("one");
 
-    keeper.apply_batch(1, 1_234, fixtures::batch(0, &log(1)));
+    keeper.apply_log_batch(1, 1_234, fixtures::batch(0, &log(1)));
 
     let expected = audit::Event::InForce {
         process: SmolStr::new_static("one"),
@@ -250,14 +250,14 @@
                         next: documents.len() as u64,
                         entries: fixtures::entries(from as u64, &documents[from..to]),
                     };
-                    let taken = keepers[one].apply_batch(1, 1, batch);
+                    let taken = keepers[one].apply_log_batch(1, 1, batch);
                     prop_assert_eq!(taken.is_at_end, to == documents.len());
                 }
                 Step::Ask(one, other) => {
                     let reply = keepers[other].reply(&query(&keepers[one]));
                     let peer = SmolStr::new_static("peer");
-                    keepers[one].apply_reply(1, 1, &peer, reply.clone());
-                    keepers[one].apply_reply(1, 1, &peer, reply);
+                    keepers[one].apply_peer_reply(1, 1, &peer, reply.clone());
+                    keepers[one].apply_peer_reply(1, 1, &peer, reply);
                 }
             }
             for keeper in &keepers {
