--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -245,9 +245,9 @@
         self.report_end(now_ms, number, &pending, run_ms, code);
         let place = self.place_of(pending.runner);
         let fate = match code.class() {
-            codes::Class::Complete => api::Fate::Ran,
+            codes::Class::Complete => api::TaskOutcome::Ran,
             codes::Class::MayHaveRun => return self.attempt_lost(now_ms, &pending, code),
-            _ => api::Fate::Failed,
+            _ => api::TaskOutcome::Failed,
         };
         let code = self.cause_of(pending.task, code);
         let decided = jobs::Decided {
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -15,10 +15,10 @@
 use crate::entry::core;
 use crate::heartbeats;
 use crate::jobs;
-use crate::keeper;
 use crate::membership::announcements;
 use crate::membership::contacts;
 use crate::outgoing;
+use crate::settings_replica;
 use crate::streams;
 use crate::wire;
 
@@ -48,14 +48,14 @@
     /// The threads that send outgoing requests.
     pub pool: sync::Arc<outgoing::Pool>,
     /// The settings as published to the traffic threads.
-    pub snapshot: heartbeats::Snapshot,
+    pub snapshot: heartbeats::SettingsSnapshot,
 }
 
 /// The control actor of an entry.
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
-    pub(super) keeper: keeper::Keeper,
+    pub(super) keeper: settings_replica::SettingsReplica,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<jobs::Key, Vec<Waiter>>,
     pub(super) claim_waiters: collections::HashMap<claims::ScopedId, Vec<oneshot::Sender<()>>>,
@@ -71,7 +71,7 @@
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let (name, zone) = (parts.me.name.clone(), parts.me.zone.clone());
-        let keeper = keeper::Keeper::new(name, zone, now_ms);
+        let keeper = settings_replica::SettingsReplica::new(name, zone, now_ms);
         let settings = sync::Arc::clone(keeper.state().settings());
         let seed = parts.me.incarnation.0;
         Self {
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -371,7 +371,7 @@
         }
         let is_foreign = reply.sender.zone != self.me.zone;
         self.freshness
-            .hear_process(request_sent_ms, is_foreign, reply.evidence);
+            .record_peer_reply(request_sent_ms, is_foreign, reply.evidence);
         false
     }
 
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -39,7 +39,7 @@
     let message = message(peer, team, call);
     let limit = time::Duration::from_millis(wait_ms.saturating_add(FORWARD_GRACE_MS));
     let path = wire::FORWARD_PATH;
-    let reply = outgoing::post_afresh(&peer.address, path, &message, limit).await;
+    let reply = outgoing::post_on_new_connection(&peer.address, path, &message, limit).await;
     let reply: Result<wire::ForwardReply, _> = reply;
     // The body was not read and a retry would be refused as well.
     let too_large = codes::Code::TooLarge;
@@ -128,7 +128,7 @@
     let call = wire::Call::Submit(submission);
     let message = message(to, team.clone(), call);
     let (address, path) = (&to.address, wire::FORWARD_PATH);
-    let kept = outgoing::kept();
+    let kept = outgoing::thread_client();
     let reply = outgoing::post(&kept, address, path, &message, KEPT_CONNECTION_TIMEOUT).await;
     match reply.map(|reply: wire::ForwardReply| reply.answer) {
         Ok(answer) => return pass_on::first_copy_outcome(answer),
@@ -142,7 +142,7 @@
             log::warn!(event = "pass_on.silent", submission = id, to = to; "no reply on a kept connection: {e}; repeating on a fresh one");
         }
     }
-    let reply = outgoing::post_afresh(address, path, &message, FRESH_CONNECTION_TIMEOUT).await;
+    let reply = outgoing::post_on_new_connection(address, path, &message, FRESH_CONNECTION_TIMEOUT).await;
     reply.map_or(pass_on::Outcome::Unknown, |reply: wire::ForwardReply| {
         pass_on::second_copy_outcome(reply.answer)
     })
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -30,7 +30,7 @@
     /// Address of the control thread.
     pub control: actix::Addr<control::Control>,
     /// The settings in force.
-    pub snapshot: heartbeats::Snapshot,
+    pub snapshot: heartbeats::SettingsSnapshot,
     /// The incarnation of this entry.
     pub incarnation: ids::Incarnation,
 }
@@ -44,25 +44,25 @@
 
 /// Registers the routes for callers and operators.
 pub fn public_routes(cfg: &mut web::ServiceConfig) {
-    incoming::numbered(cfg);
+    incoming::configure_errors(cfg);
     cfg.route("/v1/tickets", web::post().to(tickets));
     cfg.route("/v1/jobs", web::post().to(submit_job));
     cfg.route("/v1/requests", web::post().to(submit_request));
     cfg.route("/v1/cancel", web::post().to(cancel_many));
     cfg.route("/v1/submissions/{id}", web::get().to(fetch));
     cfg.route("/v1/submissions/{id}", web::delete().to(cancel));
-    operators::pages(cfg);
-    cfg.default_service(web::to(incoming::no_such_page));
+    operators::routes(cfg);
+    cfg.default_service(web::to(incoming::not_found));
 }
 
 /// Registers the routes for other processes.
 pub fn peer_routes(cfg: &mut web::ServiceConfig) {
-    incoming::numbered(cfg);
+    incoming::configure_errors(cfg);
     cfg.route(wire::HEARTBEAT_PATH, web::post().to(heartbeat));
     cfg.route(wire::FORWARD_PATH, web::post().to(forwarded));
-    operators::peer_pages(cfg);
-    operators::pages(cfg);
-    cfg.default_service(web::to(incoming::no_such_page));
+    operators::peer_routes(cfg);
+    operators::routes(cfg);
+    cfg.default_service(web::to(incoming::not_found));
 }
 
 impl Shared {
@@ -175,7 +175,7 @@
     };
     match result.await {
         Ok(tickets) => actix_web::HttpResponse::Ok().json(tickets),
-        Err(refusal) => incoming::refuse_for(&refusal),
+        Err(refusal) => incoming::refuse_with_detail(&refusal),
     }
 }
 
@@ -198,7 +198,7 @@
 fn respond(answered: Result<api::Answer, incoming::Refusal>) -> actix_web::HttpResponse {
     match answered {
         Ok(answer) => incoming::answer(&answer),
-        Err(refusal) => incoming::refuse_for(&refusal),
+        Err(refusal) => incoming::refuse_with_detail(&refusal),
     }
 }
 
@@ -291,7 +291,7 @@
 ) -> actix_web::HttpResponse {
     let result = async {
         let team = shared.team(&req)?;
-        let order: api::CancelOrder = shared.read_json(payload).await?;
+        let order: api::CancelRequest = shared.read_json(payload).await?;
         if order.submissions.len() > MAX_CANCELS {
             let detail = format!("expected at most {MAX_CANCELS} submissions");
             return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
@@ -308,7 +308,7 @@
     };
     match result.await {
         Ok(cancelled) => actix_web::HttpResponse::Ok().json(cancelled),
-        Err(refusal) => incoming::refuse_for(&refusal),
+        Err(refusal) => incoming::refuse_with_detail(&refusal),
     }
 }
 
--- a/src/entry/messages.rs
+++ b/src/entry/messages.rs
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Result<api::Tickets, codes::Code>")]
-pub struct IssueTickets(pub api::TicketOrder);
+pub struct IssueTickets(pub api::TicketRequest);
 
 /// A heartbeat received from another process.
 #[derive(Debug)]
--- a/src/entry/updates.rs
+++ b/src/entry/updates.rs
@@ -28,7 +28,7 @@
     /// An entry that started while the log was down has only the defaults, which list
     /// neither teams nor zones that are out; calls are refused until settings arrive.
     pub(super) fn publish(&mut self) {
-        if !self.core.freshness().has_heard() {
+        if !self.core.freshness().has_evidence() {
             return;
         }
         let settings = sync::Arc::clone(self.keeper.state().settings());
@@ -134,9 +134,9 @@
         self.contacts.record_reply(now_ms, &message.address, &reply);
         let is_behind = self
             .core
-            .heartbeat_answered(now_ms, message.asked_ms, &reply);
+            .heartbeat_answered(now_ms, message.sent_at_ms, &reply);
         self.publish_if_unpublished();
-        if is_behind || self.keeper.is_lacking() {
+        if is_behind || self.keeper.is_missing_records() {
             let position = self.keeper.state().position();
             let done = cx.address().recipient();
             let pool = &self.parts.pool;
@@ -151,7 +151,9 @@
     fn handle(&mut self, message: heartbeats::SettingsDone, cx: &mut Self::Context) {
         let heartbeats::SettingsDone { address, reply } = message;
         let (now_ms, unix_ms) = (self.now_ms(), clock::unix_ms());
-        let taken = self.keeper.take_reply(now_ms, unix_ms, &address, reply);
+        let taken = self
+            .keeper
+            .apply_peer_reply(now_ms, unix_ms, &address, reply);
         if taken.is_changed {
             self.settings_changed(cx);
         }
@@ -164,9 +166,9 @@
     fn handle(&mut self, message: streams::LogRead, cx: &mut Self::Context) -> u64 {
         let now_ms = self.now_ms();
         if let Some(batch) = message.batch {
-            let taken = self.keeper.take_batch(now_ms, clock::unix_ms(), batch);
+            let taken = self.keeper.apply_log_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
-                self.core.freshness().hear_log(message.asked_ms);
+                self.core.freshness().record_log_read(message.sent_at_ms);
             }
             if taken.is_changed {
                 self.settings_changed(cx);
--- a/src/jobs/answer.rs
+++ b/src/jobs/answer.rs
@@ -60,7 +60,7 @@
 /// The code of the weakest guarantee wins: a task that may have run comes before one that
 /// failed, and that before one that did not run.
 fn overall(decided: &[&jobs::Decided]) -> codes::Code {
-    let first_code = |fate: api::Fate| {
+    let first_code = |fate: api::TaskOutcome| {
         let mut codes = decided
             .iter()
             .filter(|task| task.fate == fate)
@@ -68,11 +68,11 @@
         let first = codes.clone().next();
         codes.find(|code| !is_consequence(*code)).or(first)
     };
-    let ran = first_code(api::Fate::Ran);
+    let ran = first_code(api::TaskOutcome::Ran);
     match (
-        first_code(api::Fate::MayHaveRun),
-        first_code(api::Fate::Failed),
-        first_code(api::Fate::NotRun),
+        first_code(api::TaskOutcome::MayHaveRun),
+        first_code(api::TaskOutcome::Failed),
+        first_code(api::TaskOutcome::NotRun),
     ) {
         (Some(lost), _, _) => lost,
         (None, Some(failed), _) => failed,
--- a/src/jobs/summary.rs
+++ b/src/jobs/summary.rs
@@ -12,7 +12,7 @@
 /// Run-length encoding of consecutive tasks with the same outcome and result code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Repeated {
-    fate: api::Fate,
+    fate: api::TaskOutcome,
     code: codes::Code,
     count: u32,
 }
--- a/src/leased/entry/calls.rs
+++ b/src/leased/entry/calls.rs
@@ -71,7 +71,7 @@
         response => return response,
     };
     log::info!(event = "order.again", runner = address, number = order.number, runs = order.starts.len(), why = why.as_str(); "order not answered; resending on a new connection");
-    let second = outgoing::post_afresh(address, path, order, REPLY_TIMEOUT).await;
+    let second = outgoing::post_on_new_connection(address, path, order, REPLY_TIMEOUT).await;
     // Even if the second attempt was never sent, the first one may have arrived.
     second.map_err(|e| outgoing::CallError::Lost(format!("{why}; second attempt: {e}")))
 }
--- a/src/leased/process.rs
+++ b/src/leased/process.rs
@@ -11,7 +11,7 @@
 use crate::daemon;
 use crate::incoming;
 use crate::metrics;
-use crate::progress;
+use crate::open_requests;
 
 type Routes = sync::Arc<dyn Fn(&mut web::ServiceConfig) + Send + Sync>;
 
@@ -61,7 +61,7 @@
     A: actix::Actor<Context = actix::Context<A>>,
     F: FnOnce() -> A + Send + 'static,
 {
-    daemon::on_own_thread(create)
+    daemon::start_on_own_thread(create)
 }
 
 /// Returns the port that serves metrics; it is optional, as callers are served without it.
@@ -71,9 +71,9 @@
     control: &actix::Addr<A>,
 ) -> Port
 where
-    A: actix::Actor<Context = actix::Context<A>> + actix::Handler<control::WantMetrics>,
+    A: actix::Actor<Context = actix::Context<A>> + actix::Handler<control::GetMetrics>,
 {
-    let source: actix::Recipient<control::WantMetrics> = control.clone().recipient();
+    let source: actix::Recipient<control::GetMetrics> = control.clone().recipient();
     Port::new(address, bounds, move |cfg| {
         cfg.app_data(web::Data::new(source.clone()));
         cfg.route("/metrics", web::get().to(scrape));
@@ -81,13 +81,11 @@
     .optional()
 }
 
-async fn scrape(
-    source: web::Data<actix::Recipient<control::WantMetrics>>,
-) -> actix_web::HttpResponse {
-    let Ok(samples) = source.send(control::WantMetrics).await else {
+async fn scrape(source: web::Data<actix::Recipient<control::GetMetrics>>) -> actix_web::HttpResponse {
+    let Ok(samples) = source.send(control::GetMetrics).await else {
         return incoming::refuse(codes::Code::Leaving);
     };
-    metrics::page(samples)
+    metrics::response(samples)
 }
 
 /// Opens the ports and serves until the process is asked to stop and has drained.
@@ -98,7 +96,7 @@
         + actix::Handler<control::IsDrained>
         + actix::Handler<control::Abandon>,
 {
-    let progress = progress::Progress::default();
+    let open_requests = open_requests::OpenRequests::default();
     let mut servers = Vec::with_capacity(ports.len());
     for port in ports {
         let listener = match net::TcpListener::bind(port.address) {
@@ -111,7 +109,12 @@
         };
         let routes = port.routes;
         let routes = move |cfg: &mut web::ServiceConfig| routes(cfg);
-        servers.push(daemon::serve(listener, 1, port.bounds, &progress, routes)?);
+        servers.push(daemon::serve(
+            listener,
+            1,
+            port.bounds,
+            &open_requests,
+            routes)?);
     }
-    daemon::until_drained(servers, daemon::stops(control), progress).await
+    daemon::serve_until_drained(servers, daemon::shutdown_handles(control), open_requests).await
 }
--- a/tests/failure/rig.rs
+++ b/tests/failure/rig.rs
@@ -224,7 +224,7 @@
     /// more than a stock.
     pub fn ticket(&self, entry: usize) -> ids::SubmissionId {
         let count = leading::TICKET_STOCK_SIZE + 1;
-        let order = api::TicketOrder { count };
+        let order = api::TicketRequest { count };
         let entry = &self.entries[entry];
         let given: Option<api::Tickets> = post(entry.address(), "/v1/tickets", TOKEN, &order);
         let is_own = |id: &ids::SubmissionId| match id {
@@ -365,7 +365,7 @@
 ) -> R {
     let limit = time::Duration::from_secs(5);
     let to = to.to_string();
-    let exchange = outgoing::post_afresh(&to, path, message, limit);
+    let exchange = outgoing::post_on_new_connection(&to, path, message, limit);
     let answer = actix_rt::System::new().block_on(exchange);
     answer.expect("an answer")
 }
--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -130,12 +130,20 @@
 // A caller whose connection broke repeats its submission long after it ended. The outputs
 // have expired, but the outcome of each task must be returned and nothing may run again.
 #[rstest]
-#[case::complete(codes::Code::Complete, codes::Code::OutputsExpired, api::Fate::Ran)]
-#[case::failed(codes::Code::TaskFailed, codes::Code::TaskFailed, api::Fate::Failed)]
+#[case::complete(
+    codes::Code::Complete,
+    codes::Code::OutputsExpired,
+    api::TaskOutcome::Ran
+)]
+#[case::failed(
+    codes::Code::TaskFailed,
+    codes::Code::TaskFailed,
+    api::TaskOutcome::Failed
+)]
 fn late_repeat_gets_task_outcomes_and_starts_nothing(
     #[case] last_code: codes::Code,
     #[case] expected: codes::Code,
-    #[case] fate: api::Fate,
+    #[case] fate: api::TaskOutcome,
 ) {
     let (mut entry, id) = entry_with_ended(last_code);
     run_ticks(&mut entry, 0, FULL_ANSWER_MS);
@@ -148,7 +156,7 @@
     assert_eq!(answer.code, expected);
     assert!(answer.is_final);
     assert_eq!(answer.submission, Some(id));
-    assert_eq!(outcomes, [api::Fate::Ran, api::Fate::Ran, fate]);
+    assert_eq!(outcomes, [api::TaskOutcome::Ran, api::TaskOutcome::Ran, fate]);
     assert!(answer.tasks.iter().all(|task| task.output.is_none()));
 }
 
