--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -142,7 +142,8 @@
             log::warn!(event = "pass_on.silent", submission = id, to = to; "no reply on a kept connection: {e}; repeating on a fresh one");
         }
     }
-    let reply = outgoing::post_on_new_connection(address, path, &message, FRESH_CONNECTION_TIMEOUT).await;
+    let reply =
+        outgoing::post_on_new_connection(address, path, &message, FRESH_CONNECTION_TIMEOUT).await;
     reply.map_or(pass_on::Outcome::Unknown, |reply: wire::ForwardReply| {
         pass_on::second_copy_outcome(reply.answer)
     })
--- a/src/leased/process.rs
+++ b/src/leased/process.rs
@@ -81,7 +81,9 @@
     .optional()
 }
 
-async fn scrape(source: web::Data<actix::Recipient<control::GetMetrics>>) -> actix_web::HttpResponse {
+async fn scrape(
+    source: web::Data<actix::Recipient<control::GetMetrics>>,
+) -> actix_web::HttpResponse {
     let Ok(samples) = source.send(control::GetMetrics).await else {
         return incoming::refuse(codes::Code::Leaving);
     };
@@ -114,7 +116,8 @@
             1,
             port.bounds,
             &open_requests,
-            routes)?);
+            routes,
+        )?);
     }
     daemon::serve_until_drained(servers, daemon::shutdown_handles(control), open_requests).await
 }
--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -156,7 +156,10 @@
     assert_eq!(answer.code, expected);
     assert!(answer.is_final);
     assert_eq!(answer.submission, Some(id));
-    assert_eq!(outcomes, [api::TaskOutcome::Ran, api::TaskOutcome::Ran, fate]);
+    assert_eq!(
+        outcomes,
+        [api::TaskOutcome::Ran, api::TaskOutcome::Ran, fate]
+    );
     assert!(answer.tasks.iter().all(|task| task.output.is_none()));
 }
 
--- a/tests/unit/claims.rs
+++ b/tests/unit/claims.rs
@@ -141,7 +141,10 @@
 
     /// Returns the maker of the first claim on an id in the whole log.
     fn owner(&self, claimed: &claims::ScopedId) -> Option<&claims::Claimer> {
-        let first = self.log.iter().find(|record| record.claims.contains(claimed));
+        let first = self
+            .log
+            .iter()
+            .find(|record| record.claims.contains(claimed));
         first.map(|record| &record.claimer)
     }
 
--- a/tests/unit/stops/entry.rs
+++ b/tests/unit/stops/entry.rs
@@ -299,7 +299,10 @@
             let dispatched_tasks = dispatched.iter().filter(|(of, _)| *of == id).count();
             let count = |fate| outcomes.iter().filter(|other| **other == fate).count();
             prop_assert_eq!(count(api::TaskOutcome::MayHaveRun), dispatched_tasks);
-            prop_assert_eq!(count(api::TaskOutcome::Ran), accepted.tasks - accepted.unfinished);
+            prop_assert_eq!(
+                count(api::TaskOutcome::Ran),
+                accepted.tasks - accepted.unfinished
+            );
             prop_assert_eq!(
                 count(api::TaskOutcome::NotRun),
                 accepted.unfinished - dispatched_tasks
