--- a/src/client/follow.rs
+++ b/src/client/follow.rs
@@ -135,7 +135,7 @@
     }
     for logged in message.records {
         let Some(text) = &logged.record else {
-            state.pass(logged.offset);
+            state.skip(logged.offset);
             continue;
         };
         let document = serde_json::from_str(text);
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -1,6 +1,6 @@
-//! Checks a folder and a merge: from raw TOML to [`Settings`].
+//! Validates a settings folder and converts its merged TOML into [`Settings`].
 //!
-//! Every reader comes to the same verdict, since nothing but the folder is looked at.
+//! The result depends on the folder alone, so every process reaches the same verdict.
 
 use std::collections;
 
@@ -20,12 +20,12 @@
 use crate::codes;
 use crate::ids;
 
-/// Merges and checks a folder; all problems are given, in the order of file and line.
+/// Merges and validates a folder; on failure, returns all problems in order of file and line.
 pub fn check_folder(files: &merge::Files) -> Result<Settings, Vec<problem::Problem>> {
     merge_checked(files).map(|(settings, _merged)| settings)
 }
 
-/// Like [`check_folder`], and hands out the merge as well.
+/// Like [`check_folder`], but also returns the merge.
 pub fn merge_checked(
     files: &merge::Files,
 ) -> Result<(Settings, merge::Merged), Vec<problem::Problem>> {
@@ -35,63 +35,68 @@
     Ok((settings, merged))
 }
 
-/// Whether a name may be a file's: `[a-z0-9][a-z0-9._-]*\.toml`, up to 64 bytes.
+/// Returns whether a name is a valid file name: `[a-z0-9][a-z0-9._-]*\.toml`, up to 64 bytes.
 pub fn is_file_name(name: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
-    let good = |b: u8| plain(b) || b"._-".contains(&b);
+    let is_alphanumeric = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit();
+    let is_allowed = |b: u8| is_alphanumeric(b) || b"._-".contains(&b);
     let Some(stem) = name.strip_suffix(".toml") else {
         return false;
     };
     name.len() <= ranges::MAX_FILE_NAME_BYTES
-        && stem.bytes().next().is_some_and(plain)
-        && stem.bytes().all(good)
+        && stem.bytes().next().is_some_and(is_alphanumeric)
+        && stem.bytes().all(is_allowed)
 }
 
-/// Checks names and sizes, before anything is parsed.
+/// Checks file names and sizes before anything is parsed.
 fn check_sizes(files: &merge::Files) -> Result<(), Vec<problem::Problem>> {
     let mut problems = Vec::new();
     if files.len() > ranges::MAX_FILES {
-        let most = ranges::MAX_FILES;
-        let reason = format!("the folder has {} files; at most {most}", files.len());
+        let max = ranges::MAX_FILES;
+        let reason = format!("the folder has {} files; the limit is {max}", files.len());
         problems.push(folder_problem(
             problem::WHOLE_FOLDER,
             codes::Code::SettingsTooLarge,
             reason,
         ));
     }
-    let mut folder_bytes = 0;
+    let mut total_bytes = 0;
     for (name, text) in files {
-        folder_bytes += json_bytes(name) + json_bytes(text);
+        total_bytes += json_bytes(name) + json_bytes(text);
         problems.extend(check_file(name, text));
     }
-    if folder_bytes > ranges::MAX_FOLDER_BYTES {
-        let most = ranges::MAX_FOLDER_BYTES;
-        let reason = format!("the folder has {folder_bytes} bytes; at most {most}");
+    if total_bytes > ranges::MAX_FOLDER_BYTES {
+        let max = ranges::MAX_FOLDER_BYTES;
+        let reason = format!("the folder has {total_bytes} bytes; the limit is {max}");
         problems.push(folder_problem(
             problem::WHOLE_FOLDER,
             codes::Code::SettingsTooLarge,
             reason,
         ));
     }
-    refuse_any(problems)
+    into_result(problems)
 }
 
-/// Checks one file's name and size.
+/// Checks the name and size of one file.
 fn check_file(name: &str, text: &str) -> Option<problem::Problem> {
-    let shown: SmolStr = name
+    let shown_name: SmolStr = name
         .escape_debug()
         .take(ranges::MAX_FILE_NAME_BYTES)
         .collect();
     if !is_file_name(name) {
-        let most = ranges::MAX_FILE_NAME_BYTES;
-        let reason = format!("a file is named [a-z0-9][a-z0-9._-]*.toml, at most {most} bytes");
-        return Some(folder_problem(&shown, codes::Code::SettingsBadName, reason));
+        let max = ranges::MAX_FILE_NAME_BYTES;
+        let reason =
+            format!("a file name must match [a-z0-9][a-z0-9._-]*.toml, at most {max} bytes");
+        return Some(folder_problem(
+            &shown_name,
+            codes::Code::SettingsBadName,
+            reason,
+        ));
     }
     if text.len() > ranges::MAX_FILE_BYTES {
-        let most = ranges::MAX_FILE_BYTES;
-        let reason = format!("the file has {} bytes; at most {most}", text.len());
+        let max = ranges::MAX_FILE_BYTES;
+        let reason = format!("the file has {} bytes; the limit is {max}", text.len());
         return Some(folder_problem(
-            &shown,
+            &shown_name,
             codes::Code::SettingsTooLarge,
             reason,
         ));
@@ -109,7 +114,7 @@
     }
 }
 
-/// Length of a text written as a JSON string.
+/// Returns the length in bytes of a text written as a JSON string.
 fn json_bytes(text: &str) -> usize {
     const QUOTES: usize = 2;
     let escaped = |c: char| match c {
@@ -120,7 +125,7 @@
     QUOTES + text.chars().map(escaped).sum::<usize>()
 }
 
-fn refuse_any(mut problems: Vec<problem::Problem>) -> Result<(), Vec<problem::Problem>> {
+fn into_result(mut problems: Vec<problem::Problem>) -> Result<(), Vec<problem::Problem>> {
     if problems.is_empty() {
         return Ok(());
     }
@@ -135,12 +140,12 @@
         let mut findings = fields::Findings::default();
         let settings = read_sections(&merged.root, &mut findings);
         relations::check_tokens(&settings, merged, &mut findings);
-        // Values that were refused read as their defaults, so relations between keys
-        // are looked at only when each is good by itself.
+        // A rejected value is replaced by its default, so relations between keys are
+        // checked only if every key is valid by itself.
         if findings.problems.is_empty() {
             relations::check_relations(&settings, merged, &mut findings);
         }
-        refuse_any(findings.problems)?;
+        into_result(findings.problems)?;
         Ok(settings)
     }
 }
@@ -162,7 +167,7 @@
     settings
 }
 
-/// Names of the tables at the top.
+/// Names of the top-level tables.
 const SECTIONS: [&str; 5] = ["teams", "zones", "limits", "timeouts", "policy"];
 
 fn section<'a>(
@@ -179,7 +184,7 @@
     None
 }
 
-/// Reads `[SECTION.NAME]` tables.
+/// Reads the `[SECTION.NAME]` tables of a section.
 fn read_named<T>(
     table: &merge::Table,
     section: &str,
@@ -190,7 +195,11 @@
     for (name, node) in table {
         let path = merge::join_path(section, name);
         if let Err(e) = ids::check_name(name) {
-            findings.impossible(&node.origin, &path, format_args!("has a bad name: {e}"));
+            findings.impossible(
+                &node.origin,
+                &path,
+                format_args!("has an invalid name: {e}"),
+            );
         } else if let Some(inner) = findings.table(node, &path) {
             named.insert(name.clone(), read(inner, path, findings));
         }
@@ -201,15 +210,15 @@
 fn read_team(table: &merge::Table, path: SmolStr, findings: &mut fields::Findings) -> Team {
     let mut team = Team::default();
     let mut fields = fields::Fields::new(table, path, findings);
-    fields.whole("weight", &mut team.weight, &ranges::TEAM_WEIGHT);
-    fields.whole(
+    fields.integer("weight", &mut team.weight, &ranges::TEAM_WEIGHT);
+    fields.integer(
         "max_running",
         &mut team.max_running,
         &ranges::TEAM_MAX_RUNNING,
     );
-    fields.whole("max_queued", &mut team.max_queued, &ranges::TEAM_MAX_QUEUED);
+    fields.integer("max_queued", &mut team.max_queued, &ranges::TEAM_MAX_QUEUED);
     team.token_sha256 = fields.texts("token_sha256");
-    fields.refuse_unknown();
+    fields.reject_unknown();
     team
 }
 
@@ -217,119 +226,119 @@
     let mut zone = Zone::default();
     let mut fields = fields::Fields::new(table, path, findings);
     fields.flag("out", &mut zone.out);
-    fields.refuse_unknown();
+    fields.reject_unknown();
     zone
 }
 
 fn read_limits(table: &merge::Table, findings: &mut fields::Findings) -> Limits {
     let mut limits = Limits::default();
     let mut fields = fields::Fields::new(table, SmolStr::new("limits"), findings);
-    fields.whole(
+    fields.integer(
         "max_job_tasks",
         &mut limits.max_job_tasks,
         &ranges::MAX_JOB_TASKS,
     );
-    fields.whole(
+    fields.integer(
         "max_body_bytes",
         &mut limits.max_body_bytes,
         &ranges::MAX_BODY_BYTES,
     );
-    fields.whole(
+    fields.integer(
         "max_payload_bytes",
         &mut limits.max_payload_bytes,
         &ranges::MAX_PAYLOAD_BYTES,
     );
-    fields.whole("max_queued", &mut limits.max_queued, &ranges::MAX_QUEUED);
-    fields.whole(
+    fields.integer("max_queued", &mut limits.max_queued, &ranges::MAX_QUEUED);
+    fields.integer(
         "max_submissions",
         &mut limits.max_submissions,
         &ranges::MAX_SUBMISSIONS,
     );
-    fields.whole("max_wait_ms", &mut limits.max_wait_ms, &ranges::MAX_WAIT_MS);
-    fields.refuse_unknown();
+    fields.integer("max_wait_ms", &mut limits.max_wait_ms, &ranges::MAX_WAIT_MS);
+    fields.reject_unknown();
     limits
 }
 
 fn read_timeouts(table: &merge::Table, findings: &mut fields::Findings) -> Timeouts {
     let mut timeouts = Timeouts::default();
     let mut fields = fields::Fields::new(table, SmolStr::new("timeouts"), findings);
-    fields.whole(
+    fields.integer(
         "heartbeat_ms",
         &mut timeouts.heartbeat_ms,
         &ranges::HEARTBEAT_MS,
     );
-    fields.whole(
+    fields.integer(
         "dead_after_ms",
         &mut timeouts.dead_after_ms,
         &ranges::DEAD_AFTER_MS,
     );
-    fields.whole("fresh_ms", &mut timeouts.fresh_ms, &ranges::FRESH_MS);
-    fields.whole(
+    fields.integer("fresh_ms", &mut timeouts.fresh_ms, &ranges::FRESH_MS);
+    fields.integer(
         "query_after_ms",
         &mut timeouts.query_after_ms,
         &ranges::QUERY_AFTER_MS,
     );
-    fields.whole("park_ms", &mut timeouts.park_ms, &ranges::PARK_MS);
-    fields.whole(
+    fields.integer("park_ms", &mut timeouts.park_ms, &ranges::PARK_MS);
+    fields.integer(
         "run_limit_ms",
         &mut timeouts.run_limit_ms,
         &ranges::RUN_LIMIT_MS,
     );
-    fields.whole(
+    fields.integer(
         "deadline_ms",
         &mut timeouts.deadline_ms,
         &ranges::DEADLINE_MS,
     );
-    fields.whole("drain_ms", &mut timeouts.drain_ms, &ranges::DRAIN_MS);
-    fields.whole("retain_ms", &mut timeouts.retain_ms, &ranges::RETAIN_MS);
-    fields.whole("answer_ms", &mut timeouts.answer_ms, &ranges::ANSWER_MS);
-    fields.whole(
+    fields.integer("drain_ms", &mut timeouts.drain_ms, &ranges::DRAIN_MS);
+    fields.integer("retain_ms", &mut timeouts.retain_ms, &ranges::RETAIN_MS);
+    fields.integer("answer_ms", &mut timeouts.answer_ms, &ranges::ANSWER_MS);
+    fields.integer(
         "checkpoint_ms",
         &mut timeouts.checkpoint_ms,
         &ranges::CHECKPOINT_MS,
     );
-    fields.refuse_unknown();
+    fields.reject_unknown();
     timeouts
 }
 
 fn read_policy(table: &merge::Table, findings: &mut fields::Findings) -> Policy {
     let mut policy = Policy::default();
     let mut fields = fields::Fields::new(table, SmolStr::new("policy"), findings);
-    fields.whole(
+    fields.integer(
         "max_queue_wait_ms",
         &mut policy.max_queue_wait_ms,
         &ranges::MAX_QUEUE_WAIT_MS,
     );
-    fields.whole(
+    fields.integer(
         "park_per_runner",
         &mut policy.park_per_runner,
         &ranges::PARK_PER_RUNNER,
     );
-    fields.whole(
+    fields.integer(
         "near_zone_bias",
         &mut policy.near_zone_bias,
         &ranges::NEAR_ZONE_BIAS,
     );
     fields.ratio("retry_ratio", &mut policy.retry_ratio, &ranges::RETRY_RATIO);
-    fields.whole("retry_burst", &mut policy.retry_burst, &ranges::RETRY_BURST);
+    fields.integer("retry_burst", &mut policy.retry_burst, &ranges::RETRY_BURST);
     fields.ratio(
         "eject_fraction",
         &mut policy.eject_fraction,
         &ranges::EJECT_FRACTION,
     );
-    fields.whole(
+    fields.integer(
         "eject_failures",
         &mut policy.eject_failures,
         &ranges::EJECT_FAILURES,
     );
-    fields.whole("eject_ms", &mut policy.eject_ms, &ranges::EJECT_MS);
-    fields.whole("ramp_ms", &mut policy.ramp_ms, &ranges::RAMP_MS);
-    fields.whole("age_ms", &mut policy.age_ms, &ranges::AGE_MS);
+    fields.integer("eject_ms", &mut policy.eject_ms, &ranges::EJECT_MS);
+    fields.integer("ramp_ms", &mut policy.ramp_ms, &ranges::RAMP_MS);
+    fields.integer("age_ms", &mut policy.age_ms, &ranges::AGE_MS);
     fields.ratio(
         "pass_on_below",
         &mut policy.pass_on_below,
         &ranges::PASS_ON_BELOW,
     );
-    fields.refuse_unknown();
+    fields.reject_unknown();
     policy
 }
--- a/src/settings/checked.rs
+++ b/src/settings/checked.rs
@@ -1,17 +1,17 @@
-//! The checked settings that the rest of the program reads.
+//! The validated settings that the rest of the program reads.
 //!
-//! All times are milliseconds. Every default's ground is in `docs/SETTINGS.md`.
+//! All times are in milliseconds. `docs/SETTINGS.md` gives the reason for each default.
 
 use std::collections;
 
 use smol_str::SmolStr;
 
-/// All settings, merged and checked.
+/// All settings, merged and validated.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
     /// `[teams.NAME]`.
     pub teams: collections::BTreeMap<SmolStr, Team>,
-    /// `[zones.NAME]`; a zone that is not named is in service.
+    /// `[zones.NAME]`; a zone that is not listed is in service.
     pub zones: collections::BTreeMap<SmolStr, Zone>,
     /// `[limits]`.
     pub limits: Limits,
@@ -22,28 +22,28 @@
 }
 
 impl Settings {
-    /// Whether operators have taken the availability zone out of service.
+    /// Returns whether operators have taken the availability zone out of service.
     pub fn is_zone_out(&self, zone: &str) -> bool {
         self.zones.get(zone).is_some_and(|zone| zone.out)
     }
 
-    /// Names of the availability zones out of service.
+    /// Returns the names of the availability zones that are out of service.
     pub fn zones_out(&self) -> Vec<SmolStr> {
         let out = self.zones.iter().filter(|(_, zone)| zone.out);
         out.map(|(name, _)| name.clone()).collect()
     }
 }
 
-/// One team: who may call, and its share and quota.
+/// One team: its tokens, share and quota.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Team {
-    /// Its share of the slots beside other teams that want them too, 1 to 1000.
+    /// Weight of the team when several teams compete for slots, 1 to 1000.
     pub weight: u32,
-    /// Most tasks that an entry has handed out for it at once.
+    /// Maximum number of tasks that an entry runs for the team at once.
     pub max_running: u32,
-    /// Most tasks that wait for it at an entry.
+    /// Maximum number of the team's tasks that are queued at an entry.
     pub max_queued: u32,
-    /// SHA-256 of its bearer tokens, in lower-case hexadecimal.
+    /// SHA-256 hashes of the team's bearer tokens, in lower-case hexadecimal.
     pub token_sha256: Vec<SmolStr>,
 }
 
@@ -58,27 +58,27 @@
     }
 }
 
-/// One availability zone.
+/// Settings of one availability zone.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Zone {
-    /// Whether operators have taken it out of service.
+    /// Whether operators have taken the zone out of service.
     pub out: bool,
 }
 
-/// Bounds on what callers may send and what a process keeps.
+/// Limits on what callers may send and what a process keeps.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// Most tasks of a job.
+    /// Maximum number of tasks in a job.
     pub max_job_tasks: u32,
-    /// Largest body of a caller's request, in bytes.
+    /// Maximum size of the body of a caller's request, in bytes.
     pub max_body_bytes: u32,
-    /// Largest payload of a task, in bytes.
+    /// Maximum size of a task's payload, in bytes.
     pub max_payload_bytes: u32,
-    /// Most tasks that wait at an entry, over all teams.
+    /// Maximum number of tasks queued at an entry, over all teams.
     pub max_queued: u32,
-    /// Most submissions that an entry remembers.
+    /// Maximum number of submissions that an entry keeps in memory.
     pub max_submissions: u32,
-    /// Longest wait of one call.
+    /// Maximum time that one call may wait for its answer.
     pub max_wait_ms: u32,
 }
 
@@ -95,30 +95,30 @@
     }
 }
 
-/// How long things may take.
+/// Timeouts and intervals.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Timeouts {
-    /// Between two heartbeats to the same entry.
+    /// Interval between heartbeats to the same entry.
     pub heartbeat_ms: u32,
-    /// Silence after which a process is taken for dead.
+    /// Time without a heartbeat after which a process is considered dead.
     pub dead_after_ms: u32,
-    /// Greatest age of the evidence on which a task may be started.
+    /// Maximum age of the freshness evidence on which a task may be started.
     pub fresh_ms: u32,
-    /// Silence of a dispatch, beyond its expected time, before it is asked about.
+    /// Time beyond its expected end after which an unanswered dispatch is queried.
     pub query_after_ms: u32,
-    /// Longest wait of a dispatch for a slot at its runner.
+    /// Maximum time that a dispatch waits for a slot at its runner.
     pub park_ms: u32,
-    /// Longest run of a task.
+    /// Maximum run time of a task.
     pub run_limit_ms: u32,
-    /// Deadline of a submission that names none.
+    /// Default deadline of a submission.
     pub deadline_ms: u32,
-    /// Longest graceful stop.
+    /// Maximum duration of a graceful stop.
     pub drain_ms: u32,
-    /// How long answers and started tasks are remembered.
+    /// Retention of answers and of the record of started tasks.
     pub retain_ms: u32,
-    /// How long answers are kept with their outputs after they were told or asked for.
+    /// Retention of an answer's outputs after the answer was last sent or requested.
     pub answer_ms: u32,
-    /// Age of the last checkpoint after which another is written.
+    /// Age of the latest checkpoint after which a new one is written.
     pub checkpoint_ms: u32,
 }
 
@@ -140,31 +140,31 @@
     }
 }
 
-/// Knobs of the decisions under load; `docs/DECISIONS.md` has their grounds.
+/// Parameters of scheduling under load; `docs/DECISIONS.md` explains them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
-    /// Expected wait in the queue over which a submission is refused.
+    /// Expected queue wait above which a submission is rejected.
     pub max_queue_wait_ms: u32,
-    /// Tasks that an entry may have waiting at one runner.
+    /// Maximum number of tasks that an entry may have waiting at one runner.
     pub park_per_runner: u32,
-    /// Free slots by which a runner of another zone must be better.
+    /// Number of free slots by which a runner in another zone must exceed a local one to be preferred.
     pub near_zone_bias: u32,
-    /// Retries per first attempt, over time.
+    /// Long-term ratio of retries to first attempts.
     pub retry_ratio: f64,
-    /// Retries that may come at once.
+    /// Maximum burst of retries.
     pub retry_burst: u32,
-    /// Greatest part of the runners that may be ejected at once.
+    /// Maximum fraction of the runners that may be ejected at once.
     pub eject_fraction: f64,
-    /// Consecutive failures, from at least two teams or kinds, that eject.
+    /// Number of consecutive failures, from at least two teams or kinds, that ejects a runner.
     pub eject_failures: u32,
-    /// How long an ejected runner stays out at first.
+    /// Duration of a runner's first ejection.
     pub eject_ms: u32,
-    /// Time over which a returning zone's share grows to its whole.
+    /// Time over which a returning zone's share ramps up to its full value.
     pub ramp_ms: u32,
-    /// Wait after which a long task goes before shorter ones.
+    /// Queue wait after which a long task is scheduled before shorter ones.
     pub age_ms: u32,
-    /// Part of the slots below whose being free a submission is passed on to the
-    /// leading entry; 0: never.
+    /// Fraction of free slots below which a submission is passed on to the leading
+    /// entry; 0 disables this.
     pub pass_on_below: f64,
 }
 
--- a/src/settings/diff.rs
+++ b/src/settings/diff.rs
@@ -1,4 +1,4 @@
-//! What changed between two merged folders, key by key.
+//! Differences between two merged folders, key by key.
 
 use std::collections;
 use std::fmt;
@@ -15,10 +15,10 @@
 pub struct KeyChange {
     /// Path of the key.
     pub key: SmolStr,
-    /// The value before, as TOML; absent: the key was not set.
+    /// The previous value as TOML; `None` if the key was not set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub old: Option<String>,
-    /// The value after, as TOML; absent: the key is not set any more.
+    /// The new value as TOML; `None` if the key is no longer set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub new: Option<String>,
 }
@@ -31,7 +31,7 @@
     }
 }
 
-/// Compares two merges; the changes come in the order of their keys.
+/// Returns the changes from one merge to another, sorted by key.
 pub fn diff(old: &merge::Merged, new: &merge::Merged) -> Vec<KeyChange> {
     let mut old = flatten(old);
     let mut changes = Vec::new();
@@ -51,9 +51,9 @@
     changes
 }
 
-/// Every key that holds a value, with the value as TOML.
+/// Returns the path of every key that has a value, with the value as TOML.
 ///
-/// A table without keys counts as a value, since `[teams.NAME]` alone makes a team.
+/// An empty table counts as a value, since `[teams.NAME]` alone defines a team.
 pub fn flatten(merged: &merge::Merged) -> collections::BTreeMap<SmolStr, String> {
     let mut flat = collections::BTreeMap::new();
     flatten_table(&merged.root, "", &mut flat);
@@ -76,7 +76,7 @@
     }
 }
 
-/// Writes a value as TOML on one line.
+/// Formats a value as TOML on one line.
 pub fn to_toml(value: &merge::Value) -> String {
     match value {
         merge::Value::Text(text) => merge::quote(text),
--- a/src/settings/fields.rs
+++ b/src/settings/fields.rs
@@ -1,4 +1,4 @@
-//! Reads the keys of one table by type and range, and refuses the rest.
+//! Reads the keys of one table by type and range, and rejects unknown keys.
 
 use std::fmt;
 use std::ops;
@@ -32,18 +32,23 @@
         });
     }
 
-    pub(super) fn wrong_type(&mut self, node: &merge::Node, key: &str, wanted: &str) {
+    pub(super) fn wrong_type(&mut self, node: &merge::Node, key: &str, expected: &str) {
         let found = node.value.type_name();
-        let reason = format!("`{key}` must be {wanted}, not {found}");
+        let reason = format!("`{key}` must be {expected}, not {found}");
         self.add(codes::Code::SettingsWrongType, &node.origin, key, reason);
     }
 
-    pub(super) fn impossible(&mut self, origin: &merge::Origin, key: &str, why: impl fmt::Display) {
-        let reason = format!("`{key}` {why}");
+    pub(super) fn impossible(
+        &mut self,
+        origin: &merge::Origin,
+        key: &str,
+        detail: impl fmt::Display,
+    ) {
+        let reason = format!("`{key}` {detail}");
         self.add(codes::Code::SettingsImpossible, origin, key, reason);
     }
 
-    /// The table at `node`, or a finding and nothing.
+    /// Returns the table at `node`; if it is not a table, records a problem.
     pub(super) fn table<'a>(
         &mut self,
         node: &'a merge::Node,
@@ -57,7 +62,7 @@
     }
 }
 
-/// One table whose keys are known beforehand.
+/// Reader of one table with a fixed set of keys.
 pub(super) struct Fields<'a> {
     table: &'a merge::Table,
     path: SmolStr,
@@ -75,8 +80,8 @@
         }
     }
 
-    /// Reads a whole number into `field`, which holds the default.
-    pub(super) fn whole(
+    /// Reads an integer into `field`, which keeps its default if the key is absent or invalid.
+    pub(super) fn integer(
         &mut self,
         key: &'static str,
         field: &mut u32,
@@ -95,7 +100,7 @@
         }
     }
 
-    /// Reads a ratio into `field`, which holds the default.
+    /// Reads a ratio into `field`, which keeps its default if the key is absent or invalid.
     pub(super) fn ratio(
         &mut self,
         key: &'static str,
@@ -120,7 +125,7 @@
         }
     }
 
-    /// Reads a truth value into `field`, which holds the default.
+    /// Reads a boolean into `field`, which keeps its default if the key is absent or invalid.
     pub(super) fn flag(&mut self, key: &'static str, field: &mut bool) {
         let Some((node, path)) = self.find(key) else {
             return;
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Reads an array of strings.
+    /// Reads an array of strings; items of another type are recorded as problems.
     pub(super) fn texts(&mut self, key: &'static str) -> Vec<SmolStr> {
         let Some((node, path)) = self.find(key) else {
             return Vec::new();
@@ -152,8 +157,8 @@
         texts
     }
 
-    /// Refuses every key that was not asked for.
-    pub(super) fn refuse_unknown(self) {
+    /// Records a problem for every key that was not read.
+    pub(super) fn reject_unknown(self) {
         for (key, node) in self.table {
             if !self.known.contains(&key.as_str()) {
                 let path = merge::join_path(&self.path, key);
@@ -178,7 +183,7 @@
         range: &ops::RangeInclusive<N>,
     ) {
         let (low, high) = (range.start(), range.end());
-        let why = format!("is {number}; it must be from {low} to {high}");
-        self.findings.impossible(&node.origin, path, why);
+        let detail = format!("is {number}; it must be from {low} to {high}");
+        self.findings.impossible(&node.origin, path, detail);
     }
 }
--- a/src/settings/merge.rs
+++ b/src/settings/merge.rs
@@ -1,7 +1,7 @@
 //! Merges a folder of TOML files in the order of their names.
 //!
-//! Tables merge key by key, at every depth. Anything else is replaced whole by the
-//! later file, arrays too. Each key remembers the file and line that set it.
+//! Tables are merged key by key at every depth. Any other value, arrays included, is
+//! replaced by that of the later file. Each key records the file and line that set it.
 
 use std::collections;
 
@@ -12,10 +12,10 @@
 use super::problem;
 use crate::codes;
 
-/// Deepest nesting of tables and arrays in a file; the settings need four.
+/// Maximum nesting of tables and arrays in a file; the settings need four levels.
 pub const MAX_DEPTH: usize = 8;
 
-/// The files of a folder by name.
+/// The texts of a folder's files by file name.
 pub type Files = collections::BTreeMap<SmolStr, String>;
 
 /// The keys of one table.
@@ -26,14 +26,14 @@
 pub struct Origin {
     /// The file's name.
     pub file: SmolStr,
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: u32,
 }
 
 /// A value and where it was set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Node {
-    /// The last file that set it; of a table, the last that opened it.
+    /// The last place that set the value or, for a table, opened it.
     pub origin: Origin,
     /// The value.
     pub value: Value,
@@ -44,13 +44,13 @@
 pub enum Value {
     /// A string.
     Text(SmolStr),
-    /// An integer that fits 64 bits.
+    /// An integer that fits in 64 bits.
     Integer(i64),
-    /// Any other number.
+    /// A floating-point number.
     Float(f64),
-    /// A truth value.
+    /// A boolean.
     Boolean(bool),
-    /// A date or time; no key of ours takes one.
+    /// A date or time; no settings key accepts one.
     Datetime(SmolStr),
     /// An array.
     Array(Vec<Node>),
@@ -59,7 +59,7 @@
 }
 
 impl Value {
-    /// The type's name, for messages.
+    /// Returns the name of the type with its article, for messages.
     pub const fn type_name(&self) -> &'static str {
         match self {
             Self::Text(_) => "a string",
@@ -73,15 +73,15 @@
     }
 }
 
-/// A merged folder, not checked yet.
+/// A merged folder that is not validated yet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Merged {
-    /// The keys at the top.
+    /// The top-level table.
     pub root: Table,
 }
 
 impl Merged {
-    /// Finds the value at a path of keys.
+    /// Returns the node at a path of keys.
     pub fn get(&self, path: &[&str]) -> Option<&Node> {
         let (last, parents) = path.split_last()?;
         let mut table = &self.root;
@@ -95,7 +95,7 @@
     }
 }
 
-/// Merges all files; the problems are those of files that are not TOML.
+/// Merges all files; fails with one problem per file that is not valid TOML.
 pub fn merge(files: &Files) -> Result<Merged, Vec<problem::Problem>> {
     let mut merged = Merged::default();
     let mut problems = Vec::new();
@@ -112,7 +112,7 @@
     }
 }
 
-/// Reads one file.
+/// Parses one file.
 pub fn parse(name: &SmolStr, text: &str) -> Result<Table, problem::Problem> {
     let source = Source::new(name, text);
     match de::DeTable::parse(text) {
@@ -124,10 +124,10 @@
     }
 }
 
-/// Lays a later table over an earlier one.
-fn overlay(under: &mut Table, over: Table) {
-    for (key, node) in over {
-        match under.get_mut(&key) {
+/// Merges a later table into an earlier one.
+fn overlay(base: &mut Table, overlay_table: Table) {
+    for (key, node) in overlay_table {
+        match base.get_mut(&key) {
             Some(Node {
                 origin,
                 value: Value::Table(inner),
@@ -138,13 +138,13 @@
                 }
             }
             _ => {
-                under.insert(key, node);
+                base.insert(key, node);
             }
         }
     }
 }
 
-/// Path of a key for people, quoted where TOML would want it quoted.
+/// Returns the dotted path of a key, quoted where TOML requires it.
 pub fn join_path(parent: &str, key: &str) -> SmolStr {
     let bare = |b: u8| b.is_ascii_alphanumeric() || b == b'_' || b == b'-';
     let key = if !key.is_empty() && key.bytes().all(bare) {
@@ -159,7 +159,7 @@
     }
 }
 
-/// Writes a text as a TOML string on one line.
+/// Formats a text as a TOML string on one line.
 pub fn quote(text: &str) -> String {
     let mut out = String::with_capacity(text.len() + 2);
     out.push('"');
@@ -181,7 +181,7 @@
     format!("\\u{:04X}", u32::from(c))
 }
 
-/// A file being read, with its line starts.
+/// A file being parsed, with the offsets of its line ends for [`Origin`]s.
 struct Source<'a> {
     name: &'a SmolStr,
     line_ends: Vec<usize>,
@@ -241,7 +241,7 @@
         depth: usize,
     ) -> Result<Value, problem::Problem> {
         if depth > MAX_DEPTH {
-            return Err(self.problem(at, format!("nested deeper than {MAX_DEPTH}")));
+            return Err(self.problem(at, format!("nested deeper than {MAX_DEPTH} levels")));
         }
         Ok(match value.get_ref() {
             de::DeValue::String(text) => Value::Text(SmolStr::new(text)),
@@ -257,7 +257,7 @@
     fn integer(&self, integer: &de::DeInteger<'_>, at: usize) -> Result<Value, problem::Problem> {
         i64::from_str_radix(integer.as_str(), integer.radix())
             .map(Value::Integer)
-            .map_err(|e| self.problem(at, format!("integer out of bounds: {e}")))
+            .map_err(|e| self.problem(at, format!("integer out of range: {e}")))
     }
 
     fn float(&self, float: &de::DeFloat<'_>, at: usize) -> Result<Value, problem::Problem> {
@@ -265,6 +265,6 @@
             .as_str()
             .parse()
             .map(Value::Float)
-            .map_err(|e| self.problem(at, format!("not a float: {e}")))
+            .map_err(|e| self.problem(at, format!("invalid float: {e}")))
     }
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,5 +1,7 @@
-//! Settings that operators write: a folder of TOML files, merged in the order of
-//! their names, published as records on the log, checked the same way everywhere.
+//! Operator settings: a folder of TOML files, merged in the order of their names.
+//!
+//! Changes are published as records on the log; every process validates and applies
+//! them in the same way.
 
 pub mod check;
 pub mod checked;
--- a/src/settings/problem.rs
+++ b/src/settings/problem.rs
@@ -1,4 +1,4 @@
-//! Why a folder of settings was refused.
+//! Reasons for rejecting a settings folder.
 
 use std::error;
 use std::fmt;
@@ -9,22 +9,22 @@
 
 use crate::codes;
 
-/// Stands for the folder as a whole in [`Problem::file`].
+/// Value of [`Problem::file`] for a problem of the folder as a whole.
 pub const WHOLE_FOLDER: &str = ".";
 
-/// One reason for a refusal, with the place that gave it.
+/// One reason for a rejection and where it was found.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct Problem {
     /// The file's name, or [`WHOLE_FOLDER`].
     pub file: SmolStr,
-    /// The line within the file, from 1; 0 where no single line is at fault.
+    /// The line within the file, from 1; 0 if the problem is not tied to a line.
     pub line: u32,
-    /// Path of the key, empty where no single key is at fault.
+    /// Path of the key; empty if the problem is not tied to a key.
     pub key: SmolStr,
-    /// The class of the problem.
+    /// Result code of the problem.
     pub code: codes::Code,
-    /// For people.
+    /// Human-readable description.
     pub reason: String,
 }
 
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,5 +1,5 @@
-//! Follows the log: what to apply, where to read on, when a checkpoint is needed and
-//! when one is written.
+//! Follows the settings stream of the log and decides what to apply, where to read
+//! next, and when a checkpoint is needed or due.
 //!
 //! All times are milliseconds of the process's monotonic clock.
 
@@ -8,50 +8,50 @@
 use super::record;
 use super::state;
 
-/// Records after the last checkpoint at which another is written without waiting.
+/// Number of records since the last checkpoint at which one is written immediately.
 ///
-/// A process that starts applies at most about so many before it is at the end; each
-/// costs one check of the folder. It also keeps a burst of changes from pushing the
-/// last checkpoint off a log that keeps a fixed number of records.
-pub const MAX_RECORDS_BETWEEN: u64 = 100;
+/// It bounds roughly how many records a starting process applies, each at the cost of
+/// one validation of the folder. It also keeps a burst of changes from displacing the
+/// last checkpoint from a log that keeps a fixed number of records.
+pub const MAX_RECORDS_BETWEEN_CHECKPOINTS: u64 = 100;
 
-/// A checkpoint is written again, though nothing changed, at this many times
-/// `timeouts.checkpoint_ms`: the log keeps records for a limited time only.
+/// Age, in multiples of `timeouts.checkpoint_ms`, at which a checkpoint is rewritten
+/// even without changes, since the log keeps records for a limited time only.
 pub const REFRESH_FACTOR: u64 = 10;
 
-/// Part of `timeouts.checkpoint_ms` over which the writers of a checkpoint spread,
-/// and for which one waits for its own to be seen on the log.
-const SPREAD_DIVISOR: u64 = 4;
+/// Divisor of `timeouts.checkpoint_ms` that gives the jitter range of checkpoint writers
+/// and the time that a writer waits for its own checkpoint to appear on the log.
+const JITTER_DIVISOR: u64 = 4;
 
-/// Time over which the processes that could write a checkpoint spread.
+/// Returns the upper bound of the jitter before a checkpoint is written, in milliseconds.
 ///
-/// The caller draws its jitter evenly from 0 to this; the first that writes spares
-/// the others their own.
-pub const fn spread_ms(checkpoint_ms: u64) -> u64 {
-    checkpoint_ms / SPREAD_DIVISOR
+/// Each process draws its jitter uniformly from 0 to this bound; once the first process
+/// has written a checkpoint, the others need not write one.
+pub const fn max_jitter_ms(checkpoint_ms: u64) -> u64 {
+    checkpoint_ms / JITTER_DIVISOR
 }
 
-/// One record as the log hands it out.
+/// One record as returned by the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The record's offset.
     pub offset: u64,
-    /// The record's document.
+    /// The record's JSON document.
     pub document: serde_json::Value,
 }
 
-/// One answer of the log to a read.
+/// The log's answer to one read.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Batch {
-    /// The oldest offset still kept.
+    /// The oldest offset that the log still has.
     pub first: u64,
-    /// The offset that the next append will get.
+    /// The offset that the next append will receive.
     pub next: u64,
     /// The records.
     pub entries: Vec<Entry>,
 }
 
-/// A record that had its turn, and what became of it.
+/// A record that was processed in order, with its verdict.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Applied {
     /// The record.
@@ -60,91 +60,91 @@
     pub verdict: state::Verdict,
 }
 
-/// Where the reader stands after a batch.
+/// Position of the reader relative to the log after a batch.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReadStatus {
-    /// Every record up to the log's end is applied: this is evidence of freshness.
+    /// Every record up to the log's end is applied, which is evidence of freshness.
     AtEnd,
     /// There are more records to read.
     Behind,
-    /// Records expired before they were read, and no checkpoint on the log bridges
-    /// them: ask the peers.
+    /// Records expired before they were read and no checkpoint on the log covers them;
+    /// the state must come from a peer.
     MissingRecords,
-    /// The answer's end lies below what was applied before: a late answer, or a log
-    /// that lost records. Nothing was applied and nothing is taken back.
+    /// The answer ends below the reader's position: it is a late answer, or the log lost
+    /// records. Nothing was applied or reverted.
     Stale,
 }
 
-/// What a batch came to.
+/// Result of applying a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchOutcome {
-    /// The records that had their turn, in order.
+    /// The records that were processed, in order.
     pub applied: Vec<Applied>,
-    /// Where the reader stands now.
+    /// Status after the batch.
     pub read_status: ReadStatus,
 }
 
 /// The latest checkpoint seen on the log.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct SeenCheckpoint {
     position: u64,
-    /// Oldest kept offset when it was seen.
+    /// Oldest kept offset of the log when the checkpoint was seen.
     front: u64,
     seen_ms: u64,
 }
 
-/// A follower of the log.
+/// Follows the settings stream of the log.
 #[derive(Clone, Debug)]
 pub struct Reader {
     state: state::State,
     read_status: ReadStatus,
-    /// Next offset at which to look for a checkpoint, while records are missing.
+    /// Next offset to search for a checkpoint; set while records are missing.
     search: Option<u64>,
-    /// Oldest kept offset, as far as known.
+    /// Highest known value of the log's oldest kept offset.
     front: u64,
-    mark: Option<Mark>,
+    seen_checkpoint: Option<SeenCheckpoint>,
     /// Changes since the latest checkpoint's position.
     changes: u64,
     /// Offset of the latest change.
     last_change: Option<u64>,
     started_ms: u64,
-    wanted_since: Option<u64>,
-    tried_ms: Option<u64>,
+    due_since_ms: Option<u64>,
+    attempted_ms: Option<u64>,
 }
 
 impl Reader {
-    /// Follows the log on top of `state`.
+    /// Creates a reader that continues from `state`.
     pub const fn new(state: state::State, now_ms: u64) -> Self {
         Self {
             state,
             read_status: ReadStatus::Behind,
             search: None,
             front: 0,
-            mark: None,
+            seen_checkpoint: None,
             changes: 0,
             last_change: None,
             started_ms: now_ms,
-            wanted_since: None,
-            tried_ms: None,
+            due_since_ms: None,
+            attempted_ms: None,
         }
     }
 
-    /// The settings in force and all that belongs to them.
+    /// Returns the settings state.
     pub const fn state(&self) -> &state::State {
         &self.state
     }
 
-    /// Where the reader stood after the last batch.
+    /// Returns the status after the last batch.
     pub const fn read_status(&self) -> ReadStatus {
         self.read_status
     }
 
-    /// Offset from which to read next.
+    /// Returns the offset from which to read next.
     pub fn read_from(&self) -> u64 {
         self.search.unwrap_or(self.state.position())
     }
 
-    /// Takes in an answer of the log.
+    /// Applies the log's answer to a read.
     pub fn apply_batch(&mut self, now_ms: u64, mut batch: Batch) -> BatchOutcome {
         batch.entries.sort_by_key(|entry| entry.offset);
         self.front = self.front.max(batch.first);
@@ -157,8 +157,8 @@
                 read_status,
             };
         }
-        // Records between the position and the front are gone. To go on from the
-        // front would lose their changes here and nowhere else.
+        // Records between the position and the log's front have expired. Continuing from
+        // the front would lose their changes on this process alone.
         if self.state.position() < batch.first {
             self.search_checkpoint(&batch);
         } else {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Takes over the state of a peer, if it is further on.
+    /// Adopts a peer's state if it is ahead of this one; returns whether it was adopted.
     pub fn adopt(
         &mut self,
         checkpoint: &record::Checkpoint,
@@ -190,10 +190,10 @@
         Ok(adopted)
     }
 
-    /// Takes over one record that a peer passes on; none: a checkpoint, left out.
+    /// Applies one record forwarded by a peer; `None` stands for an omitted checkpoint.
     ///
-    /// It tells nothing of where the log ends, so it is no evidence of anything: a
-    /// peer may itself be far behind.
+    /// A forwarded record is no evidence of freshness, because the peer may be behind
+    /// the end of the log.
     pub fn apply_forwarded(
         &mut self,
         now_ms: u64,
@@ -204,7 +204,7 @@
         let applied = if let Some(document) = document {
             self.apply(now_ms, vec![Entry { offset, document }])
         } else {
-            self.state.pass(offset);
+            self.state.skip(offset);
             Vec::new()
         };
         if self.state.position() != before && self.state.position() >= self.front {
@@ -214,7 +214,7 @@
         applied.into_iter().next()
     }
 
-    /// Looks for the first checkpoint from which no record is missing.
+    /// Searches for the first checkpoint after which no record is missing.
     fn search_checkpoint(&mut self, batch: &Batch) {
         let mut cursor = self.search.unwrap_or(batch.first).max(batch.first);
         for entry in &batch.entries {
@@ -222,7 +222,7 @@
                 continue;
             }
             cursor += 1;
-            if self.start_from(entry, batch.first) {
+            if self.adopt_from_log(entry, batch.first) {
                 self.search = None;
                 return;
             }
@@ -230,16 +230,16 @@
         self.search = Some(cursor);
     }
 
-    /// Starts from a checkpoint on the log, if it bridges the missing records.
-    fn start_from(&mut self, entry: &Entry, first: u64) -> bool {
+    /// Adopts a checkpoint on the log if it covers the missing records.
+    fn adopt_from_log(&mut self, entry: &Entry, first: u64) -> bool {
         let Ok(record) = record::Record::deserialize(&entry.document) else {
             return false;
         };
         let record::Record::Checkpoint(checkpoint) = record else {
             return false;
         };
-        let bridges = checkpoint.position >= first && checkpoint.position <= entry.offset;
-        bridges && matches!(self.state.adopt(&checkpoint), Ok(true))
+        let covers_gap = checkpoint.position >= first && checkpoint.position <= entry.offset;
+        covers_gap && matches!(self.state.adopt(&checkpoint), Ok(true))
     }
 
     fn apply(&mut self, now_ms: u64, entries: Vec<Entry>) -> Vec<Applied> {
@@ -250,7 +250,7 @@
                 state::Verdict::Ignored => continue,
                 state::Verdict::Gap { .. } => break,
                 state::Verdict::Checkpoint { position, .. } => {
-                    self.mark(now_ms, entry.offset, *position);
+                    self.record_checkpoint(now_ms, entry.offset, *position);
                 }
                 _ => {
                     self.changes += 1;
@@ -270,12 +270,15 @@
         }
     }
 
-    /// Notes a checkpoint seen on the log.
-    fn mark(&mut self, now_ms: u64, offset: u64, position: u64) {
-        if self.mark.is_some_and(|mark| mark.position > position) {
+    /// Records a checkpoint seen on the log.
+    fn record_checkpoint(&mut self, now_ms: u64, offset: u64, position: u64) {
+        if self
+            .seen_checkpoint
+            .is_some_and(|seen| seen.position > position)
+        {
             return;
         }
-        self.mark = Some(Mark {
+        self.seen_checkpoint = Some(SeenCheckpoint {
             position,
             front: self.front,
             seen_ms: now_ms,
@@ -286,59 +289,60 @@
         };
     }
 
-    /// Whether to append [`state::State::checkpoint`] to the log now.
+    /// Returns whether to append [`state::State::checkpoint`] to the log now.
     ///
-    /// `jitter_ms` is drawn once a process from 0 to [`spread_ms`]. After an append,
-    /// whatever came of it, call [`Reader::checkpoint_attempted`].
+    /// Each process draws `jitter_ms` once, from 0 to [`max_jitter_ms`]. After an append,
+    /// successful or not, [`Reader::checkpoint_attempted`] must be called.
     pub fn checkpoint_due(&mut self, now_ms: u64, jitter_ms: u64) -> bool {
-        if !self.checkpoint_wanted(now_ms) {
-            self.wanted_since = None;
+        if !self.needs_checkpoint(now_ms) {
+            self.due_since_ms = None;
             return false;
         }
-        let since = *self.wanted_since.get_or_insert(now_ms);
-        let pause_over = self
-            .tried_ms
-            .is_none_or(|tried| now_ms.saturating_sub(tried) >= spread_ms(self.checkpoint_ms()));
-        pause_over && now_ms.saturating_sub(since) >= jitter_ms
+        let since = *self.due_since_ms.get_or_insert(now_ms);
+        let is_retry_allowed = self.attempted_ms.is_none_or(|attempted_at| {
+            now_ms.saturating_sub(attempted_at) >= max_jitter_ms(self.checkpoint_ms())
+        });
+        is_retry_allowed && now_ms.saturating_sub(since) >= jitter_ms
     }
 
-    /// Notes that a checkpoint was appended, or that this failed.
+    /// Records that the append of a checkpoint was attempted.
     ///
-    /// Whether it took effect is learned by reading it, not from the answer, which
-    /// may be lost.
+    /// Whether it succeeded is determined by reading it back, since the answer may be lost.
     pub const fn checkpoint_attempted(&mut self, now_ms: u64) {
-        self.tried_ms = Some(now_ms);
+        self.attempted_ms = Some(now_ms);
     }
 
     fn checkpoint_ms(&self) -> u64 {
         u64::from(self.state.settings().timeouts.checkpoint_ms)
     }
 
-    fn checkpoint_wanted(&self, now_ms: u64) -> bool {
+    fn needs_checkpoint(&self, now_ms: u64) -> bool {
         if self.read_status != ReadStatus::AtEnd || self.state.position() == 0 {
             return false;
         }
-        let seen_ms = self.mark.map_or(self.started_ms, |mark| mark.seen_ms);
+        let seen_ms = self
+            .seen_checkpoint
+            .map_or(self.started_ms, |seen| seen.seen_ms);
         let age_ms = now_ms.saturating_sub(seen_ms);
         let checkpoint_ms = self.checkpoint_ms();
         let changed = self.changes > 0;
         (changed && age_ms >= checkpoint_ms)
-            || self.changes >= MAX_RECORDS_BETWEEN
+            || self.changes >= MAX_RECORDS_BETWEEN_CHECKPOINTS
             || age_ms >= REFRESH_FACTOR * checkpoint_ms
-            || self.nears_expiry()
+            || self.is_near_expiry()
     }
 
-    /// Whether the log's front has come half the way to the latest checkpoint.
+    /// Returns whether the log's front has moved halfway to the latest checkpoint.
     ///
-    /// How long the log keeps its records is not known beforehand. If the latest
-    /// checkpoint expired while no process lives, a process that starts would find
-    /// nothing to start from; so the front's own movement is the warning.
-    const fn nears_expiry(&self) -> bool {
-        let Some(mark) = self.mark else {
+    /// The log's retention is not known in advance. If the latest checkpoint expired while
+    /// no process is running, a starting process would have no state to start from, so
+    /// the movement of the front is used to predict the expiry.
+    const fn is_near_expiry(&self) -> bool {
+        let Some(seen) = self.seen_checkpoint else {
             return self.front > 0;
         };
-        let whole = mark.position.saturating_sub(mark.front);
-        let moved = self.front.saturating_sub(mark.front);
-        moved > 0 && 2 * moved >= whole
+        let distance = seen.position.saturating_sub(seen.front);
+        let moved = self.front.saturating_sub(seen.front);
+        moved > 0 && 2 * moved >= distance
     }
 }
--- a/src/settings/relations.rs
+++ b/src/settings/relations.rs
@@ -1,4 +1,4 @@
-//! Checks keys against each other.
+//! Validates relations between keys.
 
 use std::collections;
 
@@ -9,10 +9,10 @@
 use super::merge;
 use super::ranges;
 
-/// SHA-256 of the empty text, which must not open anything.
+/// SHA-256 hash of the empty token, which must not grant access.
 const EMPTY_TOKEN_SHA256: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
 
-/// Checks the token hashes of all teams against each other.
+/// Validates the token hashes of all teams, which must be unique across teams.
 pub(super) fn check_tokens(
     settings: &Settings,
     merged: &merge::Merged,
@@ -25,22 +25,22 @@
         let node = merged.get(&["teams", name, "token_sha256"]);
         if team.token_sha256.len() > ranges::MAX_TOKENS {
             let origin = node.map(|node| node.origin.clone()).unwrap_or_default();
-            let why = format!("has more than {} hashes", ranges::MAX_TOKENS);
-            findings.impossible(&origin, &path, why);
+            let detail = format!("has more than {} hashes", ranges::MAX_TOKENS);
+            findings.impossible(&origin, &path, detail);
         }
-        for (origin, hash) in node.into_iter().flat_map(texts) {
-            if let Some(why) = token_fault(hash) {
-                findings.impossible(origin, &path, why);
+        for (origin, hash) in node.into_iter().flat_map(strings) {
+            if let Some(detail) = invalid_hash(hash) {
+                findings.impossible(origin, &path, detail);
             } else if let Some(owner) = owners.insert(hash, name) {
-                let why = format!("has a hash that team `{owner}` has already");
-                findings.impossible(origin, &path, why);
+                let detail = format!("has a hash that team `{owner}` has already");
+                findings.impossible(origin, &path, detail);
             }
         }
     }
 }
 
-/// The strings of an array, each with its place.
-fn texts(node: &merge::Node) -> impl Iterator<Item = (&merge::Origin, &SmolStr)> {
+/// Returns the strings of an array with their origins.
+fn strings(node: &merge::Node) -> impl Iterator<Item = (&merge::Origin, &SmolStr)> {
     let items = match &node.value {
         merge::Value::Array(items) => items.as_slice(),
         _ => &[],
@@ -51,15 +51,15 @@
     })
 }
 
-fn token_fault(hash: &str) -> Option<&'static str> {
+fn invalid_hash(hash: &str) -> Option<&'static str> {
     let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     if hash.len() != ranges::TOKEN_HASH_DIGITS || !hash.bytes().all(hex) {
-        return Some("must have hashes of 64 lower-case hexadecimal digits");
+        return Some("must contain hashes of 64 lower-case hexadecimal digits");
     }
     (hash == EMPTY_TOKEN_SHA256).then_some("has the hash of the empty token")
 }
 
-/// Checks keys against each other.
+/// Validates numeric keys that depend on each other.
 pub(super) fn check_relations(
     settings: &Settings,
     merged: &merge::Merged,
@@ -78,19 +78,19 @@
         limits.max_payload_bytes <= limits.max_body_bytes,
         "limits",
         &["max_payload_bytes", "max_body_bytes"],
-        "must be at most max_body_bytes, or the largest payload could never be sent",
+        "must be at most max_body_bytes, or the largest payload can never be sent",
     );
     require(
         limits.max_job_tasks <= limits.max_queued,
         "limits",
         &["max_job_tasks", "max_queued"],
-        "must be at most max_queued, or the largest job could never be taken in",
+        "must be at most max_queued, or the largest job can never be accepted",
     );
     require(
         timeouts.dead_after_ms >= 2 * timeouts.heartbeat_ms,
         "timeouts",
         &["dead_after_ms", "heartbeat_ms"],
-        "must be at least twice heartbeat_ms, or one lost heartbeat looks like a death",
+        "must be at least twice heartbeat_ms, or one lost heartbeat makes a process appear dead",
     );
     require(
         timeouts.fresh_ms >= 2 * timeouts.heartbeat_ms,
@@ -102,7 +102,7 @@
         timeouts.drain_ms >= timeouts.run_limit_ms + timeouts.park_ms,
         "timeouts",
         &["drain_ms", "run_limit_ms", "park_ms"],
-        "must be at least run_limit_ms + park_ms, or a planned stop cuts tasks",
+        "must be at least run_limit_ms + park_ms, or a graceful stop interrupts tasks",
     );
     require(
         timeouts.retain_ms
@@ -119,11 +119,11 @@
             "query_after_ms",
         ],
         "must be at least run_limit_ms + park_ms + dead_after_ms + query_after_ms, or a \
-         runner forgets a task before its entry has asked about it",
+         runner discards its record of a task before the entry queries it",
     );
 }
 
-/// Reports a broken relation at the key that was set last, by the order of names.
+/// Reports a violated relation at whichever of its keys has the last origin in file order.
 fn report_relation(
     merged: &merge::Merged,
     section: &str,
--- a/src/settings/state.rs
+++ b/src/settings/state.rs
@@ -1,8 +1,8 @@
 //! The settings in force, as a state machine over the log's records.
 //!
-//! Nothing but the records decides, so every process that applies the same records
-//! comes to the same verdicts and the same folder. A process that can't have all of
-//! them starts from a checkpoint, which is the state of another.
+//! The state depends on the records alone, so every process that applies the same
+//! records reaches the same verdicts and the same folder. A process that cannot read all
+//! of them starts from a checkpoint, which is a snapshot of another process's state.
 
 use std::collections;
 use std::sync;
@@ -20,70 +20,70 @@
 use crate::codes;
 use crate::ids;
 
-/// What became of a record.
+/// Result of applying a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// The change is in force.
+    /// The change was accepted and is in force.
     Accepted {
-        /// The revision that it made.
+        /// The new revision.
         revision: u64,
-        /// The keys that it changed.
+        /// The changed keys.
         changed: Vec<diff::KeyChange>,
     },
-    /// The change was refused and what was in force stays.
+    /// The change was rejected; the settings in force are unchanged.
     Rejected {
-        /// The first problem's class.
+        /// Result code of the first problem.
         code: codes::Code,
         /// All problems.
         problems: Vec<problem::Problem>,
     },
-    /// A change with the same id came before and settled the matter.
+    /// A change with the same id was applied before; this one has no effect.
     Repeated {
-        /// The verdict on the first.
+        /// The verdict on the first occurrence.
         first: record::Recent,
     },
-    /// The record lies below the position and had its effect before.
+    /// The record is below the position and was applied before.
     Ignored,
-    /// The record is a checkpoint, which changes nothing for a state that is past it.
+    /// The record is a checkpoint, which has no effect on a state that is past it.
     Checkpoint {
         /// The checkpoint's position.
         position: u64,
         /// The checkpoint's revision.
         revision: Option<u64>,
-        /// The revision in force, which stays.
+        /// The revision in force, which is unchanged.
         in_force: Option<u64>,
     },
-    /// Records between the position and this one are missing; nothing was applied.
+    /// Records between the position and this record are missing; nothing was applied.
     Gap {
-        /// The offset that is wanted.
+        /// The offset of the first missing record.
         position: u64,
     },
 }
 
 quick_error! {
-    /// Why a checkpoint can't be taken over.
+    /// Error for a checkpoint that cannot be adopted.
     #[derive(Clone, Debug, Eq, PartialEq)]
     pub enum CheckpointError {
-        /// Another version of the format.
+        /// The format version is not supported.
         Version(version: u32) {
-            display("the checkpoint has version {version}, which is not spoken here")
+            display("unsupported checkpoint version {version}")
         }
-        /// Its parts contradict each other.
+        /// Fields of the checkpoint contradict each other.
         Inconsistent(why: &'static str) {
-            display("the checkpoint contradicts itself: {why}")
+            display("inconsistent checkpoint: {why}")
         }
-        /// It is further on and yet has an older revision.
+        /// Its position is ahead of this state's but its revision is older.
         OlderRevision {
-            display("the checkpoint is further on and has an older revision")
+            display("the checkpoint is ahead of the current position but has an older revision")
         }
-        /// Its folder does not check out here.
+        /// Its folder is invalid.
         Folder(problems: Vec<problem::Problem>) {
-            display("the checkpoint's folder has {} problems", problems.len())
+            display("the checkpoint's folder is invalid: {} problems", problems.len())
         }
     }
 }
 
-/// The settings after all records below a position.
+/// The settings after all records with offsets below a position.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct State {
     position: u64,
@@ -95,75 +95,75 @@
 }
 
 impl State {
-    /// The default settings, before the first record.
+    /// Creates the state before the first record, with default settings.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub const fn settings(&self) -> &sync::Arc<Settings> {
         &self.settings
     }
 
-    /// Offset of the last accepted change; absent before the first.
+    /// Returns the offset of the last accepted change, or `None` before the first.
     pub const fn revision(&self) -> Option<u64> {
         self.revision
     }
 
-    /// Offset of the next record to apply.
+    /// Returns the offset of the next record to apply.
     pub const fn position(&self) -> u64 {
         self.position
     }
 
-    /// The files of the folder in force.
+    /// Returns the files of the folder in force.
     pub const fn files(&self) -> &merge::Files {
         &self.files
     }
 
-    /// The merge in force.
+    /// Returns the merged folder in force.
     pub const fn merged(&self) -> &merge::Merged {
         &self.merged
     }
 
-    /// The latest changes and their verdicts, oldest first.
+    /// Returns the latest changes and their verdicts, oldest first.
     pub fn recent(&self) -> impl ExactSizeIterator<Item = &record::Recent> {
         self.recent.iter()
     }
 
-    /// Applies the record at `offset`, as it stands on the log.
+    /// Parses and applies the record at `offset`.
     ///
-    /// A document that is no record is rejected and passed, or no reader of this
-    /// release would ever get beyond it.
+    /// A document that is not a valid record is rejected and skipped; otherwise no reader
+    /// of this release could advance past it.
     pub fn apply_json(&mut self, offset: u64, document: &serde_json::Value) -> Verdict {
-        if let Some(verdict) = self.out_of_turn(offset) {
+        if let Some(verdict) = self.out_of_order(offset) {
             return verdict;
         }
         match record::Record::deserialize(document) {
             Ok(record) => self.apply(offset, &record),
             Err(e) => {
                 self.position = offset + 1;
-                bad_record(format!("the record can't be read: {e}"))
+                reject_record(format!("the record cannot be parsed: {e}"))
             }
         }
     }
 
     /// Applies the record at `offset`.
     pub fn apply(&mut self, offset: u64, record: &record::Record) -> Verdict {
-        if let Some(verdict) = self.out_of_turn(offset) {
+        if let Some(verdict) = self.out_of_order(offset) {
             return verdict;
         }
         self.position = offset + 1;
         match record {
             record::Record::Change(change) => self.apply_change(offset, change),
-            record::Record::Checkpoint(checkpoint) => self.pass_checkpoint(offset, checkpoint),
+            record::Record::Checkpoint(checkpoint) => self.check_checkpoint(offset, checkpoint),
         }
     }
 
-    /// Passes the record at `offset` by without looking at it, if it is the next.
+    /// Skips the record at `offset` if it is the next one; returns whether it was.
     ///
-    /// For checkpoints that a peer leaves out: at a state that is past them they
-    /// change nothing. The answer is whether it was its turn.
-    pub const fn pass(&mut self, offset: u64) -> bool {
+    /// Used for checkpoints that a peer omits, since they have no effect on a state that
+    /// is past them.
+    pub const fn skip(&mut self, offset: u64) -> bool {
         let is_next = offset == self.position;
         if is_next {
             self.position = offset + 1;
@@ -171,12 +171,12 @@
         is_next
     }
 
-    /// The verdict on a record that is not the next one.
+    /// Returns the verdict on a record that is not the next one, `None` for the next.
     ///
-    /// Duplicated and re-ordered delivery shows as an offset below the position; to
-    /// apply it again would put an older file back. Expired records show as an offset
-    /// above it; to jump would lose the changes between for good.
-    const fn out_of_turn(&self, offset: u64) -> Option<Verdict> {
+    /// An offset below the position comes from duplicated or reordered delivery; applying
+    /// it again would restore an older file. An offset above the position means that
+    /// records expired; skipping them would lose their changes permanently.
+    const fn out_of_order(&self, offset: u64) -> Option<Verdict> {
         if offset < self.position {
             return Some(Verdict::Ignored);
         }
@@ -188,17 +188,17 @@
     }
 
     fn apply_change(&mut self, offset: u64, change: &record::Change) -> Verdict {
-        if let Some(why) = unreadable(change) {
-            return bad_record(why);
+        if let Some(why) = invalid_change(change) {
+            return reject_record(why);
         }
-        // An append whose answer was lost is made again by its author. The second
-        // would be refused as racing with the first, or undo a change made between.
+        // An author repeats an append whose answer was lost. The repeat would either be
+        // rejected as conflicting with the first or undo a change made in between.
         if let Some(first) = self.recent.iter().find(|recent| recent.id == change.id) {
             let first = first.clone();
             return Verdict::Repeated { first };
         }
         let verdict = self.decide(offset, change);
-        self.remember(offset, change, &verdict);
+        self.record_recent(offset, change, &verdict);
         verdict
     }
 
@@ -213,7 +213,7 @@
             Some(text) => {
                 files.insert(change.file.clone(), text.clone());
             }
-            None if files.remove(&change.file).is_none() => return no_file(change),
+            None if files.remove(&change.file).is_none() => return reject_missing_file(change),
             None => {}
         }
         match check::merge_checked(&files) {
@@ -235,15 +235,15 @@
         }
     }
 
-    /// Two operators started from the same revision and the other's change came first.
+    /// Rejects a change whose base revision was superseded by another operator's change.
     fn conflict(&self, change: &record::Change, base: u64) -> Verdict {
         let base = record::show_revision(record::revision_of(base));
         let in_force = record::show_revision(self.revision);
-        let reason = format!("made on revision {base}, but revision {in_force} is in force");
+        let reason = format!("based on revision {base}, but revision {in_force} is in force");
         reject(codes::Code::SettingsConflict, change.file.clone(), reason)
     }
 
-    fn remember(&mut self, offset: u64, change: &record::Change, verdict: &Verdict) {
+    fn record_recent(&mut self, offset: u64, change: &record::Change, verdict: &Verdict) {
         let code = match verdict {
             Verdict::Rejected { code, .. } => *code,
             _ => codes::Code::Complete,
@@ -255,19 +255,21 @@
         self.recent.push_back(record::Recent { id, offset, code });
     }
 
-    /// Passes a checkpoint on the log, at which this state has arrived by itself.
-    fn pass_checkpoint(&self, offset: u64, checkpoint: &record::Checkpoint) -> Verdict {
+    /// Validates a checkpoint on the log against this state, which has already reached it.
+    fn check_checkpoint(&self, offset: u64, checkpoint: &record::Checkpoint) -> Verdict {
         let position = checkpoint.position;
         let revision = checkpoint.revision;
-        // A checkpoint of the state ahead of it would make whoever starts from it
-        // skip records that all others apply.
+        // A process that started from a checkpoint ahead of its own offset would skip
+        // records that all other processes apply.
         if checkpoint.version != record::VERSION || position > offset || revision > self.revision {
-            return bad_record(
-                "the checkpoint is of another version or ahead of the log".to_owned(),
+            return reject_record(
+                "the checkpoint has another version or is ahead of the log".to_owned(),
             );
         }
         if revision == self.revision && checkpoint.files != self.files {
-            return bad_record("the checkpoint has other files at the same revision".to_owned());
+            return reject_record(
+                "the checkpoint has different files for the same revision".to_owned(),
+            );
         }
         Verdict::Checkpoint {
             position,
@@ -276,7 +278,7 @@
         }
     }
 
-    /// This state as a record for the log or for a peer.
+    /// Returns this state as a checkpoint for the log or a peer.
     pub fn checkpoint(&self, author: &str) -> record::Checkpoint {
         record::Checkpoint {
             version: record::VERSION,
@@ -288,10 +290,10 @@
         }
     }
 
-    /// Takes over a state from the log or a peer, if it is further on.
+    /// Adopts a checkpoint from the log or a peer if it is ahead of this state.
     ///
-    /// The answer is whether it was taken over; one that is not further on is passed
-    /// by, so that a peer that fell behind can't bring an older revision back.
+    /// Returns whether it was adopted. A checkpoint that is not ahead is ignored, so a
+    /// peer that fell behind cannot restore an older revision.
     pub fn adopt(&mut self, checkpoint: &record::Checkpoint) -> Result<bool, CheckpointError> {
         if checkpoint.version != record::VERSION {
             return Err(CheckpointError::Version(checkpoint.version));
@@ -320,26 +322,20 @@
             .is_some_and(|revision| revision >= position)
         {
             return Err(CheckpointError::Inconsistent(
-                "its revision is not below its position",
+                "revision is not below position",
             ));
         }
         if checkpoint.revision.is_none() && !checkpoint.files.is_empty() {
-            return Err(CheckpointError::Inconsistent(
-                "it has files and no revision",
-            ));
+            return Err(CheckpointError::Inconsistent("files without a revision"));
         }
         if checkpoint.recent.len() > ranges::MAX_RECENT {
-            return Err(CheckpointError::Inconsistent(
-                "it remembers too many changes",
-            ));
+            return Err(CheckpointError::Inconsistent("too many recent changes"));
         }
-        let good = |recent: &record::Recent| {
+        let is_valid = |recent: &record::Recent| {
             recent.offset < position && ids::check_name(&recent.id).is_ok()
         };
-        if !checkpoint.recent.iter().all(good) {
-            return Err(CheckpointError::Inconsistent(
-                "it remembers an impossible change",
-            ));
+        if !checkpoint.recent.iter().all(is_valid) {
+            return Err(CheckpointError::Inconsistent("invalid recent change"));
         }
         if checkpoint.revision < self.revision {
             return Err(CheckpointError::OlderRevision);
@@ -348,27 +344,27 @@
     }
 }
 
-/// Why a change can't be taken for one of this release.
-fn unreadable(change: &record::Change) -> Option<String> {
+/// Returns the reason why a change is not a valid record of this release, if any.
+fn invalid_change(change: &record::Change) -> Option<String> {
     if change.version != record::VERSION {
-        return Some(format!("version {} is not spoken here", change.version));
+        return Some(format!("unsupported version {}", change.version));
     }
     if let Err(e) = ids::check_name(&change.id) {
-        return Some(format!("the id is not good: {e}"));
+        return Some(format!("invalid id: {e}"));
     }
     let author = &change.author;
     if author.len() > ranges::MAX_AUTHOR_BYTES || author.chars().any(char::is_control) {
-        return Some("the author is too long or has control characters".to_owned());
+        return Some("the author is too long or contains control characters".to_owned());
     }
     None
 }
 
-fn bad_record(reason: String) -> Verdict {
+fn reject_record(reason: String) -> Verdict {
     reject(codes::Code::SettingsBadRecord, SmolStr::default(), reason)
 }
 
-fn no_file(change: &record::Change) -> Verdict {
-    let reason = "there is no such file to remove".to_owned();
+fn reject_missing_file(change: &record::Change) -> Verdict {
+    let reason = "the file to remove does not exist".to_owned();
     reject(codes::Code::SettingsNoFile, change.file.clone(), reason)
 }
 
--- a/src/settings_replica.rs
+++ b/src/settings_replica.rs
@@ -100,7 +100,7 @@
     /// Whether the append took effect is learned by reading it back.
     pub fn checkpoint_due(&mut self, now_ms: u64, seed: u64) -> Option<settings::Record> {
         let checkpoint_ms = self.state().settings().timeouts.checkpoint_ms;
-        let jitter_ms = seed % (reader::spread_ms(checkpoint_ms.into()) + 1);
+        let jitter_ms = seed % (reader::max_jitter_ms(checkpoint_ms.into()) + 1);
         if !self.reader.checkpoint_due(now_ms, jitter_ms) {
             return None;
         }
--- a/tests/unit/settings/reader.rs
+++ b/tests/unit/settings/reader.rs
@@ -219,7 +219,7 @@
 fn jitter_lets_one_entry_write_for_all() {
     let mut log = changes(3);
     let (mut eager, mut patient) = (at_end(0, &log), at_end(0, &log));
-    let jitter_ms = reader::spread_ms(CHECKPOINT_MS);
+    let jitter_ms = reader::max_jitter_ms(CHECKPOINT_MS);
 
     let first = eager.checkpoint_due(CHECKPOINT_MS, 0);
     let held_back = patient.checkpoint_due(CHECKPOINT_MS, jitter_ms);
@@ -235,7 +235,7 @@
     let mut reader = at_end(0, &changes(3));
     let due = reader.checkpoint_due(CHECKPOINT_MS, 0);
     reader.checkpoint_attempted(CHECKPOINT_MS);
-    let pause_ms = reader::spread_ms(CHECKPOINT_MS);
+    let pause_ms = reader::max_jitter_ms(CHECKPOINT_MS);
 
     let at_once = reader.checkpoint_due(CHECKPOINT_MS + pause_ms - 1, 0);
     let later = reader.checkpoint_due(CHECKPOINT_MS + pause_ms, 0);
--- a/tests/unit/settings_replica.rs
+++ b/tests/unit/settings_replica.rs
@@ -30,7 +30,7 @@
         state.apply_json(state.position(), documents.last().expect("a document"));
         if number % 3 == 2 {
             documents.push(fixtures::checkpoint_document(state.checkpoint("entry")));
-            state.pass(state.position());
+            state.skip(state.position());
         }
     }
     documents
