--- a/src/audit/event.rs
+++ b/src/audit/event.rs
@@ -1,4 +1,4 @@
-//! What stands in the audit trail.
+//! Events of the audit trail.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -11,42 +11,42 @@
 use crate::settings::record;
 use crate::settings::state;
 
-/// Most changed keys or problems listed in an event; the rest are counted.
+/// Maximum number of changed keys or problems listed in an event; the rest are counted.
 pub const MAX_LISTED: usize = 16;
-/// Longest value or reason shown in an event, in bytes.
+/// Maximum length of a value or reason shown in an event, in bytes.
 pub const MAX_SHOWN_BYTES: usize = 128;
 
-/// What the author said of a change, as far as it can be read.
+/// Metadata of a change as given by its author; unreadable fields are empty.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ChangeInfo {
-    /// Offset of the record.
+    /// Offset of the record on the log.
     pub offset: u64,
     /// Id of the change.
     pub id: SmolStr,
-    /// Who made it.
+    /// Author of the change.
     pub author: SmolStr,
-    /// When, by the author's clock, milliseconds since 1970.
+    /// Time by the author's clock, in milliseconds since 1970.
     pub time_ms: u64,
-    /// The file.
+    /// Name of the changed file.
     pub file: SmolStr,
     /// Whether the file was removed.
     pub removed: bool,
 }
 
-/// One event.
+/// One event of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event {
-    /// A change was accepted; the revision is the record's offset.
+    /// A change was accepted; its revision is the record's offset.
     Accepted {
         /// The change.
         #[serde(flatten)]
         made: ChangeInfo,
-        /// The keys that changed, at most [`MAX_LISTED`].
+        /// The changed keys, at most [`MAX_LISTED`].
         changed: Vec<diff::KeyChange>,
-        /// How many more changed.
+        /// Number of changed keys not listed.
         unlisted: usize,
     },
     /// A change was rejected.
@@ -54,51 +54,51 @@
         /// The change.
         #[serde(flatten)]
         made: ChangeInfo,
-        /// The first problem's class.
+        /// Result code of the first problem.
         code: codes::Code,
         /// The problems, at most [`MAX_LISTED`].
         problems: Vec<settings::Problem>,
-        /// How many more there are.
+        /// Number of problems not listed.
         unlisted: usize,
     },
-    /// A change had been made already.
+    /// A change repeated an earlier one and had no effect.
     Repeated {
-        /// The repeat.
+        /// The repeated change.
         #[serde(flatten)]
         made: ChangeInfo,
-        /// The verdict on the first.
+        /// The verdict on the first occurrence.
         first: record::Recent,
     },
-    /// An older state was offered, by a checkpoint or a peer, and passed by.
+    /// A checkpoint or a peer offered an older state, which was ignored.
     RevertAttempt {
-        /// Who offered it.
+        /// The checkpoint's author or the peer.
         offered_by: SmolStr,
-        /// Offset of the checkpoint on the log; absent: a peer offered it.
+        /// Offset of the checkpoint on the log; `None` if a peer offered the state.
         offset: Option<u64>,
-        /// When, milliseconds since 1970; absent: at the record's time.
+        /// Time in milliseconds since 1970; `None` for a checkpoint on the log.
         time_ms: Option<u64>,
-        /// The revision offered.
+        /// The offered revision.
         offered: Option<u64>,
-        /// The revision in force, which stayed.
+        /// The revision in force, which is unchanged.
         in_force: Option<u64>,
     },
-    /// A revision came into force at a process.
+    /// A revision came into force on a process.
     InForce {
         /// The process.
         process: SmolStr,
-        /// Its availability zone.
+        /// The process's availability zone.
         zone: SmolStr,
         /// The revision.
         revision: Option<u64>,
-        /// When, by the clock of the process that noted it, milliseconds since 1970.
+        /// Time by the clock of the recording process, in milliseconds since 1970.
         time_ms: u64,
     },
 }
 
 impl Event {
-    /// The event of a record that had its turn; most checkpoints make none.
-    pub fn of_record(applied: &reader::Applied) -> Option<Self> {
-        let made = || ChangeInfo::of(&applied.entry);
+    /// Returns the event for an applied record; most checkpoints cause none.
+    pub fn from_record(applied: &reader::Applied) -> Option<Self> {
+        let made = || ChangeInfo::from_entry(&applied.entry);
         match &applied.verdict {
             state::Verdict::Accepted { changed, .. } => Some(Self::accepted(made(), changed)),
             state::Verdict::Rejected { code, problems } => {
@@ -124,15 +124,15 @@
     }
 
     fn accepted(made: ChangeInfo, changed: &[diff::KeyChange]) -> Self {
-        let shown = |value: &String| clip(value, MAX_SHOWN_BYTES);
+        let truncated = |value: &String| truncate(value, MAX_SHOWN_BYTES);
         let listed = changed.iter().take(MAX_LISTED);
         Self::Accepted {
             made,
             changed: listed
                 .map(|change| diff::KeyChange {
-                    key: clip(&change.key, MAX_SHOWN_BYTES).into(),
-                    old: change.old.as_ref().map(shown),
-                    new: change.new.as_ref().map(shown),
+                    key: truncate(&change.key, MAX_SHOWN_BYTES).into(),
+                    old: change.old.as_ref().map(truncated),
+                    new: change.new.as_ref().map(truncated),
                 })
                 .collect(),
             unlisted: changed.len().saturating_sub(MAX_LISTED),
@@ -146,11 +146,11 @@
             code,
             problems: listed
                 .map(|problem| settings::Problem {
-                    file: clip(&problem.file, MAX_SHOWN_BYTES).into(),
+                    file: truncate(&problem.file, MAX_SHOWN_BYTES).into(),
                     line: problem.line,
-                    key: clip(&problem.key, MAX_SHOWN_BYTES).into(),
+                    key: truncate(&problem.key, MAX_SHOWN_BYTES).into(),
                     code: problem.code,
-                    reason: clip(&problem.reason, MAX_SHOWN_BYTES),
+                    reason: truncate(&problem.reason, MAX_SHOWN_BYTES),
                 })
                 .collect(),
             unlisted: problems.len().saturating_sub(MAX_LISTED),
@@ -159,12 +159,12 @@
 }
 
 impl ChangeInfo {
-    /// Reads what can be read of a record, also of one that was rejected as unreadable.
-    fn of(entry: &reader::Entry) -> Self {
+    /// Extracts the readable fields of a record, which may have been rejected as invalid.
+    fn from_entry(entry: &reader::Entry) -> Self {
         let field = |name: &str| entry.document.get(name);
         let text = |name: &str| -> SmolStr {
             let text = field(name).and_then(serde_json::Value::as_str);
-            clip(text.unwrap_or_default(), MAX_SHOWN_BYTES).into()
+            truncate(text.unwrap_or_default(), MAX_SHOWN_BYTES).into()
         };
         let is_change = field("type").is_some_and(|kind| kind == "change");
         Self {
@@ -180,22 +180,27 @@
     }
 }
 
-/// Cuts a text to a length in bytes, marked with an ellipsis.
-fn clip(text: &str, most: usize) -> String {
+/// Truncates a text to a length in bytes, ending in an ellipsis if anything was removed.
+fn truncate(text: &str, max_bytes: usize) -> String {
     const ELLIPSIS: char = '…';
-    if text.len() <= most {
+    if text.len() <= max_bytes {
         return text.to_owned();
     }
-    let room = most - ELLIPSIS.len_utf8();
+    let kept_bytes = max_bytes - ELLIPSIS.len_utf8();
     let ends = text.char_indices().map(|(at, c)| at + c.len_utf8());
-    let end = ends.take_while(|&end| end <= room).last().unwrap_or(0);
-    let mut clipped = text[..end].to_owned();
-    clipped.push(ELLIPSIS);
-    clipped
+    let end = ends
+        .take_while(|&end| end <= kept_bytes)
+        .last()
+        .unwrap_or(0);
+    let mut truncated_text = text[..end].to_owned();
+    truncated_text.push(ELLIPSIS);
+    truncated_text
 }
 
-/// Derives the trail from the records of the log, by their own checkpoint where the
-/// first of them have expired.
+/// Derives the audit trail from the records of the log.
+///
+/// If the oldest records have expired, it starts at the first checkpoint on the log from
+/// which no record is missing.
 pub fn replay(entries: Vec<reader::Entry>) -> Vec<Event> {
     let offsets = || entries.iter().map(|entry| entry.offset);
     let (Some(first), Some(last)) = (offsets().min(), offsets().max()) else {
@@ -207,6 +212,10 @@
         entries,
     };
     let mut reader = reader::Reader::new(state::State::new(), 0);
-    let taken = reader.apply_batch(0, batch);
-    taken.applied.iter().filter_map(Event::of_record).collect()
+    let outcome = reader.apply_batch(0, batch);
+    outcome
+        .applied
+        .iter()
+        .filter_map(Event::from_record)
+        .collect()
 }
--- a/src/audit/mod.rs
+++ b/src/audit/mod.rs
@@ -1,7 +1,7 @@
-//! The audit trail: who changed which settings, when, with what effect.
+//! The audit trail: who changed which settings, when and with what result.
 //!
-//! Events about records derive from the log alone, so every process tells the same;
-//! events about peers are those of the process that saw them.
+//! Events about records are derived from the log alone, so they are the same on every
+//! process; events about peers are recorded only by the process that observed them.
 
 pub mod event;
 pub mod ring;
--- a/src/audit/ring.rs
+++ b/src/audit/ring.rs
@@ -1,4 +1,4 @@
-//! The latest events of one process.
+//! Bounded buffer of one process's latest events.
 
 use std::collections;
 
@@ -7,36 +7,36 @@
 
 use super::event;
 
-/// Events kept by default; at 42,000 changes a day about half an hour of them.
+/// Default number of events kept: about half an hour at 42,000 changes a day.
 pub const DEFAULT_CAPACITY: usize = 1024;
 
-/// Most events of one page.
-pub const MAX_PAGE: usize = 256;
+/// Maximum number of events on one page.
+pub const MAX_PAGE_EVENTS: usize = 256;
 
-/// An event and its number at this process.
+/// An event with its sequence number on this process.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Numbered {
-    /// Counts the events of this life of the process, from 0.
+    /// Sequence number within this incarnation of the process, from 0.
     pub number: u64,
     /// The event.
     #[serde(flatten)]
     pub event: event::Event,
 }
 
-/// Answer to `GET /audit?from=N`.
+/// Response to `GET /audit?from=N`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Page {
-    /// The oldest number still kept.
+    /// Number of the oldest event still kept.
     pub first: u64,
-    /// The number from which to ask next.
+    /// Value of `from` for the next request.
     pub next: u64,
-    /// The events.
+    /// The events, oldest first.
     pub events: Vec<Numbered>,
 }
 
-/// A bounded trail; the oldest events give way.
+/// A bounded audit trail that discards its oldest events.
 #[derive(Clone, Debug)]
 pub struct Audit {
     events: collections::VecDeque<event::Event>,
@@ -52,7 +52,7 @@
 }
 
 impl Audit {
-    /// An empty trail that keeps at most `capacity` events, at least one.
+    /// Creates an empty trail that keeps at most `capacity` events, and at least one.
     pub fn new(capacity: usize) -> Self {
         Self {
             events: collections::VecDeque::new(),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Adds an event and gives its number.
+    /// Appends an event and returns its number.
     pub fn push(&mut self, event: event::Event) -> u64 {
         if self.events.len() == self.capacity {
             self.events.pop_front();
@@ -71,15 +71,16 @@
         self.next() - 1
     }
 
-    /// The number that the next event will get.
+    /// Returns the number of the next event.
     pub fn next(&self) -> u64 {
         self.first + self.events.len() as u64
     }
 
-    /// The events from `number` on, at most [`MAX_PAGE`], or the oldest kept.
+    /// Returns up to [`MAX_PAGE_EVENTS`] events from `number` on, or from the oldest event kept.
     ///
-    /// A number beyond the end is that of an earlier life of the process, and starts
-    /// over; else a follower would wait for numbers that are long in coming.
+    /// A number beyond the end was issued by an earlier incarnation of the process, so the
+    /// page starts at the oldest event. Otherwise a follower would receive nothing until
+    /// this incarnation reached that number.
     pub fn since(&self, number: u64) -> Page {
         let from = if number > self.next() {
             self.first
@@ -87,7 +88,7 @@
             number.max(self.first)
         };
         let skipped = usize::try_from(from - self.first).unwrap_or(usize::MAX);
-        let events = self.events.iter().skip(skipped).take(MAX_PAGE);
+        let events = self.events.iter().skip(skipped).take(MAX_PAGE_EVENTS);
         let events: Vec<Numbered> = (from..)
             .zip(events.cloned())
             .map(|(number, event)| Numbered { number, event })
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,19 +1,19 @@
-//! The clocks: one that only goes forward, for decisions, and the wall's, for people.
+//! Clocks: a monotonic one for decisions, and the wall clock for timestamps.
 
 use std::time;
 
-/// A monotonic clock in milliseconds since it was made.
+/// A monotonic clock in milliseconds.
 ///
-/// It keeps running while the process is frozen and while the whole instance is
-/// suspended, which is how a process that wakes up finds out. The usual monotonic clock
-/// stands still in a suspended instance.
+/// It advances while the process or the whole instance is suspended, so a process can
+/// detect a suspension when it resumes. `CLOCK_MONOTONIC` stops while the instance is
+/// suspended; this clock uses `CLOCK_BOOTTIME`.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin_ms: u64,
 }
 
-/// Where the clock begins, so that ages can be taken from the first moment on.
-const HEAD_START_MS: u64 = 1_000_000;
+/// Initial reading of the clock, which lets times before the start be represented.
+const INITIAL_MS: u64 = 1_000_000;
 
 impl Clock {
     /// Starts the clock.
@@ -23,15 +23,15 @@
         }
     }
 
-    /// Milliseconds, never fewer than before.
+    /// Returns the current reading in milliseconds, which never decreases.
     pub fn now_ms(self) -> u64 {
         boot_ms()
             .saturating_sub(self.origin_ms)
-            .saturating_add(HEAD_START_MS)
+            .saturating_add(INITIAL_MS)
     }
 }
 
-/// Milliseconds since the instance was started, suspensions included.
+/// Returns the milliseconds since the instance booted, including suspended time.
 fn boot_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
@@ -39,7 +39,7 @@
     seconds * 1_000 + nanos / 1_000_000
 }
 
-/// Microseconds since 1970 by the wall's clock.
+/// Returns the microseconds since 1970 by the wall clock.
 pub fn unix_micros() -> u64 {
     let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
     since.map_or(0, |since| {
@@ -47,7 +47,7 @@
     })
 }
 
-/// Milliseconds since 1970 by the wall's clock.
+/// Returns the milliseconds since 1970 by the wall clock.
 pub fn unix_ms() -> u64 {
     unix_micros() / 1_000
 }
--- a/src/cmd/audit/mod.rs
+++ b/src/cmd/audit/mod.rs
@@ -182,7 +182,7 @@
 
 fn print_records(args: &Args, applied: &[reader::Applied]) -> cli::CliResult<()> {
     let wanted = applied.iter().filter(|one| one.entry.offset >= args.from);
-    let mut events = wanted.filter_map(audit::Event::of_record);
+    let mut events = wanted.filter_map(audit::Event::from_record);
     events.try_for_each(|event| args.print(&event))
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,4 @@
-//! What the traffic threads ask of the control thread in either role.
+//! Messages from the HTTP threads to the control thread, common to both roles.
 
 use std::time;
 
@@ -7,44 +7,43 @@
 use crate::metrics;
 use crate::wire;
 
-/// An operator wants the status.
+/// Requests the status for `GET /status`.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "api::Status")]
 pub struct GetStatus;
 
-/// The metrics are scraped.
+/// Requests the metrics for a scrape.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Vec<metrics::Sample>")]
 pub struct GetMetrics;
 
-/// A peer wants settings.
+/// Requests settings on behalf of a peer.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "wire::SettingsReply")]
 pub struct GetSettings(pub wire::SettingsQuery);
 
-/// An operator reads the audit trail from this number on.
+/// Requests a page of the audit trail from this event number on.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "audit::Page")]
 pub struct GetAudit(pub u64);
 
-/// The process is to stop; the answer is how long that may take by the settings in
-/// force.
+/// Starts a graceful stop; the result is its maximum duration by the settings in force.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "time::Duration")]
 pub struct Leave;
 
-/// Whether a stopping process has brought everything to its end.
+/// Asks whether a stopping process has finished all of its work.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "bool")]
 pub struct IsDrained;
 
-/// The time for a graceful stop is over: every submission still open gets its answer.
+/// Ends a graceful stop early: every open submission is answered now.
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "()")]
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -103,7 +103,7 @@
 pub fn run(raw: config::RawConfig) -> Result<(), DaemonError> {
     let cfg = config::Config::try_from(raw)?;
     telemetry::start(&cfg)?;
-    telemetry::end_on_panic();
+    telemetry::abort_on_panic();
     let system = actix_rt::System::new();
     system.block_on(async {
         let serving = Starting { cfg }.open()?;
--- a/src/settings/checked.rs
+++ b/src/settings/checked.rs
@@ -147,7 +147,8 @@
     pub max_queue_wait_ms: u32,
     /// Maximum number of tasks that an entry may have waiting at one runner.
     pub park_per_runner: u32,
-    /// Number of free slots by which a runner in another zone must exceed a local one to be preferred.
+    /// Number of free slots that a runner in another zone must have over a local one to be
+    /// preferred.
     pub near_zone_bias: u32,
     /// Long-term ratio of retries to first attempts.
     pub retry_ratio: f64,
--- a/src/settings_replica.rs
+++ b/src/settings_replica.rs
@@ -204,7 +204,7 @@
     /// Keeps a record that had its turn for the trail and for the peers.
     fn note(&mut self, applied: reader::Applied) {
         log_verdict(&applied);
-        if let Some(event) = audit::Event::of_record(&applied) {
+        if let Some(event) = audit::Event::from_record(&applied) {
             self.audit.push(event);
         }
         let is_checkpoint = matches!(applied.verdict, state::Verdict::Checkpoint { .. });
--- a/src/telemetry/bounded.rs
+++ b/src/telemetry/bounded.rs
@@ -1,8 +1,8 @@
-//! Lines to the standard output that never make the writer wait.
+//! Non-blocking, rate-limited log output to the standard output.
 //!
-//! A reader that stalls, or a burst of decisions, must not slow requests down: lines go
-//! to a queue that a thread of its own empties, and what is over the bounds is counted
-//! and told in a line.
+//! A stalled reader or a burst of log lines must not slow requests down. Lines go to a
+//! queue that a dedicated thread drains; lines over the limits are dropped, and their
+//! number is logged.
 
 use std::io::Write as _;
 use std::sync;
@@ -15,24 +15,24 @@
 
 use crate::clock;
 
-/// Lines that may wait to be written: some seconds of a busy process, 1 MiB in all.
-const MOST_WAITING: usize = 4_096;
+/// Capacity of the queue: a few seconds of output of a busy process, about 1 MiB.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Lines in each second; a busy entry writes four for each of 60 jobs.
-const MOST_PER_SECOND: u32 = 600;
+/// Maximum number of lines per second; a busy entry writes four for each of 60 jobs.
+const MAX_LINES_PER_SECOND: u32 = 600;
 
-/// Pause of the writing thread, so that a burst costs one write.
-const GATHER: time::Duration = time::Duration::from_millis(100);
+/// Pause of the writer thread, which combines the lines of a burst into one write.
+const BATCH_INTERVAL: time::Duration = time::Duration::from_millis(100);
 
-/// Longest wait for the writing thread at the process's end.
-const FLUSH: time::Duration = time::Duration::from_millis(500);
+/// Maximum wait for the writer thread in a flush, such as at process exit.
+const FLUSH_TIMEOUT: time::Duration = time::Duration::from_millis(500);
 
-/// The appender.
+/// Appender that queues lines for the writer thread.
 #[derive(Debug)]
 pub struct Appender {
     tx: mpsc::SyncSender<Message>,
     dropped: sync::Arc<atomic::AtomicU64>,
-    budget: sync::Mutex<Budget>,
+    rate_limit: sync::Mutex<RateLimit>,
 }
 
 #[derive(Debug)]
@@ -41,56 +41,56 @@
     Flush(mpsc::SyncSender<()>),
 }
 
-/// Counts the lines of the second that runs.
+/// Counts the lines of the current one-second window.
 #[derive(Debug)]
-struct Budget {
-    since: time::Instant,
+struct RateLimit {
+    window_start: time::Instant,
     lines: u32,
 }
 
-impl Budget {
-    fn take(&mut self, now: time::Instant) -> bool {
-        if now.duration_since(self.since) >= time::Duration::from_secs(1) {
-            self.since = now;
+impl RateLimit {
+    fn try_take(&mut self, now: time::Instant) -> bool {
+        if now.duration_since(self.window_start) >= time::Duration::from_secs(1) {
+            self.window_start = now;
             self.lines = 0;
         }
         self.lines += 1;
-        self.lines <= MOST_PER_SECOND
+        self.lines <= MAX_LINES_PER_SECOND
     }
 }
 
 impl Appender {
-    /// Starts the writing thread.
+    /// Starts the writer thread.
     pub fn start() -> std::io::Result<Self> {
-        let (tx, rx) = mpsc::sync_channel(MOST_WAITING);
+        let (tx, rx) = mpsc::sync_channel(QUEUE_CAPACITY);
         let dropped = sync::Arc::new(atomic::AtomicU64::new(0));
-        let counted = sync::Arc::clone(&dropped);
+        let thread_dropped = sync::Arc::clone(&dropped);
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(&rx, &counted))?;
+            .spawn(move || write_lines(&rx, &thread_dropped))?;
         Ok(Self {
             tx,
             dropped,
-            budget: sync::Mutex::new(Budget {
-                since: time::Instant::now(),
+            rate_limit: sync::Mutex::new(RateLimit {
+                window_start: time::Instant::now(),
                 lines: 0,
             }),
         })
     }
 
-    fn is_over_budget(&self, level: log::Level) -> bool {
-        // Errors are rare and are what an operator looks for first.
+    fn is_over_rate(&self, level: log::Level) -> bool {
+        // Errors are exempt: they are rare and the first thing an operator looks for.
         if level == log::Level::Error {
             return false;
         }
-        let budget = self.budget.lock();
-        budget.is_ok_and(|mut budget| !budget.take(time::Instant::now()))
+        let rate_limit = self.rate_limit.lock();
+        rate_limit.is_ok_and(|mut rate_limit| !rate_limit.try_take(time::Instant::now()))
     }
 }
 
 impl append::Append for Appender {
     fn append(&self, record: &log::Record<'_>) -> anyhow::Result<()> {
-        if self.is_over_budget(record.level()) {
+        if self.is_over_rate(record.level()) {
             self.dropped.fetch_add(1, atomic::Ordering::Relaxed);
             return Ok(());
         }
@@ -102,17 +102,18 @@
 
     fn flush(&self) {
         let (tx, rx) = mpsc::sync_channel(1);
-        let is_asked = self.tx.try_send(Message::Flush(tx)).is_ok();
-        if is_asked && rx.recv_timeout(FLUSH).is_err() {
-            // The writing thread hangs; the process must end all the same.
+        let is_queued = self.tx.try_send(Message::Flush(tx)).is_ok();
+        if is_queued && rx.recv_timeout(FLUSH_TIMEOUT).is_err() {
+            // The writer thread is blocked, which must not keep the process from exiting.
             self.dropped.fetch_add(1, atomic::Ordering::Relaxed);
         }
     }
 }
 
-/// One line: the time, the level, the event's fields, and the words if there are any.
+/// Encodes a record as one line: time, level, key-value fields and the message, if any.
 ///
-/// The library's own encoder adds file, line, module and thread, five times the bytes.
+/// The JSON encoder of log4rs also writes file, line, module and thread, which makes
+/// lines five times as long.
 fn line(record: &log::Record<'_>) -> anyhow::Result<Vec<u8>> {
     let mut fields = Fields(serde_json::Map::new());
     fields
@@ -149,27 +150,29 @@
     }
 }
 
-/// Writes what waits, as much as there is at once.
-fn write_all(rx: &mpsc::Receiver<Message>, dropped: &atomic::AtomicU64) {
+/// Writes all queued lines at once, in a loop.
+fn write_lines(rx: &mpsc::Receiver<Message>, dropped: &atomic::AtomicU64) {
     let mut buf = Vec::new();
     while let Ok(message) = rx.recv() {
         let mut flushes = Vec::new();
-        gather(message, &mut buf, &mut flushes);
+        add_to_batch(message, &mut buf, &mut flushes);
         if flushes.is_empty() {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_INTERVAL);
         }
         while let Ok(message) = rx.try_recv() {
-            gather(message, &mut buf, &mut flushes);
+            add_to_batch(message, &mut buf, &mut flushes);
         }
         let lost = dropped.swap(0, atomic::Ordering::Relaxed);
         if lost > 0 {
             buf.extend_from_slice(
-                format!("{{\"level\":\"WARN\",\"event\":\"log.dropped\",\"lines\":{lost}}}\n")
-                    .as_bytes(),
+                format!(
+                    "{{\"level\":\"WARN\",\"event\":\"log.dropped\",\"lines\":{lost}}}\n"
+                )
+                .as_bytes(),
             );
         }
         if std::io::stdout().lock().write_all(&buf).is_err() {
-            // Told in the next line that can be written.
+            // Reported in the next line that can be written.
             dropped.fetch_add(1, atomic::Ordering::Relaxed);
         }
         buf.clear();
@@ -181,7 +184,7 @@
     }
 }
 
-fn gather(message: Message, buf: &mut Vec<u8>, flushes: &mut Vec<mpsc::SyncSender<()>>) {
+fn add_to_batch(message: Message, buf: &mut Vec<u8>, flushes: &mut Vec<mpsc::SyncSender<()>>) {
     match message {
         Message::Line(line) => buf.extend_from_slice(&line),
         Message::Flush(tx) => flushes.push(tx),
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Structured logs: JSON lines with stable event names, through log4rs.
+//! Structured logging: JSON lines with stable event names, written through log4rs.
 
 pub mod bounded;
 
@@ -12,48 +12,48 @@
 use crate::config;
 
 quick_error! {
-    /// Why logging can't start.
+    /// Error of starting the logger.
     #[derive(Debug)]
     pub enum TelemetryError {
-        /// The log file can't be opened.
+        /// The log file cannot be opened.
         File(err: std::io::Error) {
             from()
-            display("the log file can't be opened: {err}")
+            display("cannot open the log output: {err}")
             source(err)
         }
-        /// The logging library refuses.
+        /// The logging library rejected the configuration.
         Setup(why: String) {
-            display("logging can't start: {why}")
+            display("cannot initialize logging: {why}")
         }
     }
 }
 
-/// This program's own lines.
-const OWN: &str = env!("CARGO_CRATE_NAME");
+/// Log target of this crate.
+const CRATE_TARGET: &str = env!("CARGO_CRATE_NAME");
 
-/// Those of adapters to where it runs.
-const ADAPTER: &str = "bulrushtiller_platform";
+/// Log target of the platform adapter crate.
+const PLATFORM_TARGET: &str = "bulrushtiller_platform";
 
-/// Level from which on the libraries' own lines are written: below it they would bury
-/// this program's, and they carry no event names.
-const LIBRARIES: log::LevelFilter = log::LevelFilter::Warn;
+/// Maximum log level of libraries, whose more detailed lines would crowd out this
+/// program's and have no event names.
+const LIBRARY_LEVEL: log::LevelFilter = log::LevelFilter::Warn;
 
-/// Ends the whole process when a thread panics.
+/// Aborts the whole process when any thread panics.
 ///
-/// A process without its control thread still serves some pages and does nothing
-/// more: its callers wait, and its peers take it for slow. One that is gone is known
-/// to be gone, and what it owned is answered as such.
-pub fn end_on_panic() {
-    let usual = panic::take_hook();
+/// A process that lost its control thread would still serve some routes but do no work:
+/// callers would wait and peers would consider it slow. The exit of a process is detected,
+/// and callers get an answer for the submissions that it owned.
+pub fn abort_on_panic() {
+    let default_hook = panic::take_hook();
     panic::set_hook(Box::new(move |info| {
-        usual(info);
+        default_hook(info);
         log::error!(event = "daemon.panic"; "{info}");
         log::logger().flush();
         process::abort();
     }));
 }
 
-/// Starts the JSON lines: to a file, or to the standard error.
+/// Starts logging JSON lines to the configured file or to the standard error.
 pub fn start(cfg: &config::Config) -> Result<(), TelemetryError> {
     let encoder = Box::new(json::JsonEncoder::new());
     let appender: Box<dyn append::Append> = match &cfg.log_file {
@@ -72,7 +72,7 @@
     install(appender, cfg.log_level)
 }
 
-/// Starts the JSON lines on the standard output, in bounded volume and without waiting.
+/// Starts logging JSON lines to the standard output, rate-limited and non-blocking.
 pub fn start_stdout() -> Result<(), TelemetryError> {
     let appender = bounded::Appender::start().map_err(TelemetryError::File)?;
     install(Box::new(appender), log::LevelFilter::Info)
@@ -83,17 +83,17 @@
     level: log::LevelFilter,
 ) -> Result<(), TelemetryError> {
     let appender = log_config::Appender::builder().build("lines", appender);
-    let own = log_config::Logger::builder().build(OWN, level);
-    let adapter = log_config::Logger::builder().build(ADAPTER, level);
+    let own = log_config::Logger::builder().build(CRATE_TARGET, level);
+    let adapter = log_config::Logger::builder().build(PLATFORM_TARGET, level);
     let root = log_config::Root::builder()
         .appender("lines")
-        .build(level.min(LIBRARIES));
-    let built = log_config::Config::builder()
+        .build(level.min(LIBRARY_LEVEL));
+    let logging = log_config::Config::builder()
         .appender(appender)
         .logger(own)
         .logger(adapter)
         .build(root);
-    let built = built.map_err(|e| TelemetryError::Setup(e.to_string()))?;
-    log4rs::init_config(built).map_err(|e| TelemetryError::Setup(e.to_string()))?;
+    let logging = logging.map_err(|e| TelemetryError::Setup(e.to_string()))?;
+    log4rs::init_config(logging).map_err(|e| TelemetryError::Setup(e.to_string()))?;
     Ok(())
 }
--- a/tests/unit/audit.rs
+++ b/tests/unit/audit.rs
@@ -154,14 +154,17 @@
 #[test]
 fn pages_are_bounded() {
     let mut trail = audit::Audit::default();
-    for revision in 0..=ring::MAX_PAGE as u64 {
+    for revision in 0..=ring::MAX_PAGE_EVENTS as u64 {
         trail.push(in_force(revision));
     }
 
     let page = trail.since(0);
     let rest = trail.since(page.next);
 
-    assert_eq!((page.events.len(), rest.events.len()), (ring::MAX_PAGE, 1));
+    assert_eq!(
+        (page.events.len(), rest.events.len()),
+        (ring::MAX_PAGE_EVENTS, 1)
+    );
 }
 
 // Someone appends a record with a name of half a megabyte, over and over. Kept as it
