--- a/tests/unit/audit.rs
+++ b/tests/unit/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: derived from records, bounded, read page by page.
+//! The audit trail: events derived from records, bounded sizes, and pages.
 
 use bulrushtiller::audit;
 use bulrushtiller::audit::event;
@@ -33,8 +33,8 @@
 
 fn reader_at_end(first: u64, documents: &[serde_json::Value]) -> settings::Reader {
     let mut reader = settings::Reader::new(settings::State::new(), 0);
-    let taken = reader.apply_batch(0, fixtures::batch(first, documents));
-    assert_eq!(taken.read_status, reader::ReadStatus::AtEnd);
+    let outcome = reader.apply_batch(0, fixtures::batch(first, documents));
+    assert_eq!(outcome.read_status, reader::ReadStatus::AtEnd);
     reader
 }
 
@@ -48,13 +48,13 @@
 }
 
 #[test]
-fn trail_tells_who_changed_what_with_what_effect() {
+fn replayed_trail_has_author_change_and_result_of_each_record() {
     let entries = fixtures::entries(0, &log());
 
     let trail = serde_json::to_value(audit::replay(entries)).expect("events are JSON");
 
-    let of = |index: usize, key: &str| trail[index][key].clone();
-    let kinds: Vec<_> = (0..7).map(|index| of(index, "event")).collect();
+    let field = |index: usize, key: &str| trail[index][key].clone();
+    let kinds: Vec<_> = (0..7).map(|index| field(index, "event")).collect();
     let expected = [
         "accepted",
         "rejected",
@@ -65,26 +65,32 @@
         "revert_attempt",
     ];
     assert_eq!(kinds, expected);
-    assert_eq!(of(0, "author"), "ana");
+    assert_eq!(field(0, "author"), "ana");
     assert_eq!(
-        of(0, "changed"),
+        field(0, "changed"),
         json!([{"key": "zones.bento.out", "new": "true"}])
     );
-    assert_eq!(of(1, "code"), codes::Code::SettingsWrongType.number());
-    assert_eq!(of(1, "problems")[0]["line"], 2);
-    assert_eq!(of(2, "code"), codes::Code::SettingsConflict.number());
-    assert_eq!(of(3, "first"), json!({"id": "ana", "offset": 0, "code": 0}));
-    assert_eq!(of(4, "code"), codes::Code::SettingsBadRecord.number());
-    assert_eq!(of(5, "removed"), true);
-    assert_eq!((of(6, "offered"), of(6, "in_force")), (json!(0), json!(5)));
+    assert_eq!(field(1, "code"), codes::Code::SettingsWrongType.number());
+    assert_eq!(field(1, "problems")[0]["line"], 2);
+    assert_eq!(field(2, "code"), codes::Code::SettingsConflict.number());
+    assert_eq!(
+        field(3, "first"),
+        json!({"id": "ana", "offset": 0, "code": 0})
+    );
+    assert_eq!(field(4, "code"), codes::Code::SettingsBadRecord.number());
+    assert_eq!(field(5, "removed"), true);
+    assert_eq!(
+        (field(6, "offered"), field(6, "in_force")),
+        (json!(0), json!(5))
+    );
 }
 
 #[test]
-fn trail_of_an_expired_log_starts_at_its_checkpoint() {
+fn trail_of_a_log_with_expired_records_starts_at_its_checkpoint() {
     let mut log = log();
-    let whole = reader_at_end(0, &log);
+    let full_reader = reader_at_end(0, &log);
     log.push(fixtures::checkpoint_document(
-        whole.state().checkpoint("entry-1"),
+        full_reader.state().checkpoint("entry-1"),
     ));
     log.push(fixtures::change_document(fixtures::change(
         "eva",
@@ -105,7 +111,7 @@
 }
 
 #[test]
-fn events_survive_their_json_form() {
+fn events_round_trip_through_json() {
     let mut events = audit::replay(fixtures::entries(0, &log()));
     events.push(in_force(5));
     let mut trail = audit::Audit::default();
@@ -114,14 +120,14 @@
     }
     let page = trail.since(0);
 
-    let text = serde_json::to_string(&page).expect("a page is JSON");
-    let back: audit::Page = serde_json::from_str(&text).expect("it was just written");
+    let text = serde_json::to_string(&page).expect("a page can be encoded");
+    let decoded: audit::Page = serde_json::from_str(&text).expect("an encoded page can be decoded");
 
-    assert_eq!(back, page);
+    assert_eq!(decoded, page);
 }
 
 #[test]
-fn oldest_events_give_way() {
+fn full_trail_discards_its_oldest_events() {
     let mut trail = audit::Audit::new(3);
     for revision in 0..5 {
         trail.push(in_force(revision));
@@ -140,7 +146,7 @@
 }
 
 #[test]
-fn follower_of_an_earlier_life_starts_over() {
+fn number_of_an_earlier_incarnation_returns_the_oldest_events() {
     let mut trail = audit::Audit::default();
     trail.push(in_force(0));
 
@@ -152,7 +158,7 @@
 }
 
 #[test]
-fn pages_are_bounded() {
+fn page_size_is_bounded() {
     let mut trail = audit::Audit::default();
     for revision in 0..=ring::MAX_PAGE_EVENTS as u64 {
         trail.push(in_force(revision));
@@ -167,10 +173,10 @@
     );
 }
 
-// Someone appends a record with a name of half a megabyte, over and over. Kept as it
-// is in a trail of a thousand events it would take the process's whole memory.
+// Guards against memory exhaustion: if records with names of half a megabyte were stored
+// unchanged, a trail of a thousand events would take hundreds of megabytes.
 #[test]
-fn events_are_bounded() {
+fn event_size_is_bounded() {
     let huge = "é".repeat(1 << 18);
     let zones: Vec<String> = (0..100)
         .map(|i| {
@@ -190,13 +196,13 @@
     let events = audit::replay(fixtures::entries(0, &[many, long]));
 
     let sizes = events.iter().map(|event| format!("{event:?}").len());
-    let most = (event::MAX_LISTED + 2) * 8 * event::MAX_SHOWN_BYTES;
-    assert!(sizes.into_iter().all(|size| size < most));
+    let max_size = (event::MAX_LISTED + 2) * 8 * event::MAX_SHOWN_BYTES;
+    assert!(sizes.into_iter().all(|size| size < max_size));
     let audit::Event::Rejected {
         problems, unlisted, ..
     } = &events[0]
     else {
-        panic!("not rejected: {:?}", events[0]);
+        panic!("expected a rejected change, got {:?}", events[0]);
     };
     assert_eq!(
         (problems.len(), *unlisted),
--- a/tests/unit/fixed.rs
+++ b/tests/unit/fixed.rs
@@ -1,11 +1,11 @@
-//! Property tests with the same cases every time.
+//! Deterministic configuration of property tests.
 
 use proptest::test_runner;
 
-/// Seed of every property test here.
+/// Seed of the property tests that use [`cases`].
 const SEED: u64 = 20_261_202;
 
-/// So many cases, always the same ones, and no file of earlier failures.
+/// Returns a configuration with `count` cases from a fixed seed and without a failure file.
 pub fn cases(count: u32) -> test_runner::Config {
     test_runner::Config {
         cases: count,
--- a/tests/unit/hangup.rs
+++ b/tests/unit/hangup.rs
@@ -6,17 +6,18 @@
 use bulrushtiller::hangup;
 use rstest::rstest;
 
-/// What a caller does after its whole request is on the way.
+/// What a caller does after it has sent its whole request.
 #[derive(Clone, Copy, Debug)]
-enum Then {
+enum CallerAction {
     Waits,
     SendsMore,
     Closes,
-    Breaks,
+    Resets,
 }
 
-/// A watched connection whose caller sent a request, and the caller's end while it is open.
-async fn connection(then: Then) -> (hangup::Hangup, Option<net::TcpStream>) {
+/// Returns the server side of a connection on which a request was received, and the caller's
+/// side if it is still open.
+async fn connection(action: CallerAction) -> (hangup::Hangup, Option<net::TcpStream>) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("a listener");
@@ -27,55 +28,58 @@
     read(&stream, b"request".len()).await;
     let mut data = dev::Extensions::new();
     hangup::Hangup::attach(&stream as &dyn any::Any, &mut data);
-    let caller = leave(caller, then);
-    let hangup = data.get::<hangup::Hangup>().expect("watched").clone();
+    let caller = perform(caller, action);
+    let hangup = data
+        .get::<hangup::Hangup>()
+        .expect("a hang-up handle is attached")
+        .clone();
     (hangup, caller)
 }
 
 async fn read(stream: &tokio::net::TcpStream, bytes: usize) {
     let mut buf = vec![0; bytes];
-    let mut have = 0;
-    while have < bytes {
+    let mut received = 0;
+    while received < bytes {
         stream.readable().await.expect("readable");
-        have += stream.try_read(&mut buf[have..]).unwrap_or(0);
+        received += stream.try_read(&mut buf[received..]).unwrap_or(0);
     }
 }
 
-fn leave(mut caller: net::TcpStream, then: Then) -> Option<net::TcpStream> {
-    match then {
-        Then::Waits => return Some(caller),
-        Then::SendsMore => {
+fn perform(mut caller: net::TcpStream, action: CallerAction) -> Option<net::TcpStream> {
+    match action {
+        CallerAction::Waits => return Some(caller),
+        CallerAction::SendsMore => {
             caller.write_all(b"next").expect("sent");
             return Some(caller);
         }
-        Then::Closes => {}
-        Then::Breaks => {
-            // Without lingering, closing sends a reset.
+        CallerAction::Closes => {}
+        CallerAction::Resets => {
+            // With a linger time of zero, closing the socket sends a reset.
             let socket =
                 rustix::net::sockopt::set_socket_linger(&caller, Some(std::time::Duration::ZERO));
-            socket.expect("set");
+            socket.expect("the linger time is set");
         }
     }
     None
 }
 
-/// A caller's kept connection is reset in the moment in which it sends a request. The entry
-/// gets the request and the reset together; the caller, which takes the request for unsent,
-/// sends it at once on a new connection, to another entry. Both entries start its tasks, and
-/// they run twice at once. The first one has to see that nobody waits before it starts any.
+/// Guards against tasks that run twice at the same time. A kept connection is reset while the
+/// caller sends a request on it. The entry receives the request and the reset together, while
+/// the caller considers the request unsent and repeats it at another entry. The first entry
+/// must detect the closed connection before it starts any task.
 #[rstest]
-#[case::waits(Then::Waits, false)]
-#[case::sends_the_next_request(Then::SendsMore, false)]
-#[case::closes(Then::Closes, true)]
-#[case::breaks(Then::Breaks, true)]
+#[case::waits(CallerAction::Waits, false)]
+#[case::sends_the_next_request(CallerAction::SendsMore, false)]
+#[case::closes(CallerAction::Closes, true)]
+#[case::resets(CallerAction::Resets, true)]
 #[actix_rt::test]
-async fn a_caller_that_left_before_its_job_begins_is_noticed(
-    #[case] then: Then,
-    #[case] has_left: bool,
+async fn closed_connection_is_detected_after_its_request_was_received(
+    #[case] action: CallerAction,
+    #[case] expected: bool,
 ) {
-    let (hangup, _caller) = connection(then).await;
+    let (hangup, _caller) = connection(action).await;
 
     let is_closed = hangup.is_closed();
 
-    assert_eq!(is_closed, has_left);
+    assert_eq!(is_closed, expected);
 }
--- a/tests/unit/ids.rs
+++ b/tests/unit/ids.rs
@@ -1,4 +1,4 @@
-//! Ids from texts of any kind.
+//! Parsing and formatting of ids.
 
 use bulrushtiller::ids;
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
 #[case("t:entry-1:661aec498d38f134:1:2")]
 #[case("own")]
 #[case("a.b:c_d-e")]
-fn id_is_written_as_it_was_read(#[case] text: &str) {
-    let id = ids::SubmissionId::try_from(SmolStr::new(text)).expect("an id");
+fn valid_id_round_trips(#[case] text: &str) {
+    let id = ids::SubmissionId::try_from(SmolStr::new(text)).expect("a valid id");
 
     let written = SmolStr::from(id);
 
@@ -35,7 +35,7 @@
 #[case("t:entry-1:01:2:3")]
 #[case("t:entry-1:A:2:3")]
 #[case("t:entry-1:11111111111111111:2:3")]
-fn text_that_is_no_id_is_refused(#[case] text: &str) {
+fn invalid_id_is_rejected(#[case] text: &str) {
     let parsed = ids::SubmissionId::try_from(SmolStr::new(text));
 
     assert!(parsed.is_err(), "{parsed:?}");
@@ -44,9 +44,9 @@
 proptest! {
     #![proptest_config(fixed::cases(2_000))]
 
-    /// Two texts for one ticket would be two ids to whoever compares texts.
+    /// Ids are compared as texts, so every ticket must have exactly one text form.
     #[test]
-    fn text_is_an_id_in_one_way_only(text in "(t:)?[a-z]{1,3}[ -~\u{e9}]{0,2}(:[+0]?[0-9a-fA-F]{1,2}){0,4}") {
+    fn accepted_text_is_canonical(text in "(t:)?[a-z]{1,3}[ -~\u{e9}]{0,2}(:[+0]?[0-9a-fA-F]{1,2}){0,4}") {
         let text = SmolStr::new(text);
 
         let parsed = ids::SubmissionId::try_from(text.clone());
@@ -57,7 +57,7 @@
     }
 
     #[test]
-    fn every_ticket_is_read_back(name in "[a-zA-Z0-9_-]{1,64}", parts: [u64; 3]) {
+    fn ticket_round_trips(name in "[a-zA-Z0-9_-]{1,64}", parts: [u64; 3]) {
         let ticket = ids::SubmissionId::Ticket(ids::Ticket {
             entry: name.into(),
             incarnation: ids::Incarnation(parts[0]),
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the pure modules.
+//! Unit tests of modules that need no network.
 
 mod admission;
 mod answer_retention;
--- a/tests/unit/operations.rs
+++ b/tests/unit/operations.rs
@@ -1,4 +1,4 @@
-//! The operators' page against the code: every event of the logs stands on it.
+//! Compares the log events in the source with those in `docs/OPERATIONS.md`.
 
 use std::collections;
 use std::fs;
@@ -6,30 +6,32 @@
 
 const PAGE: &str = include_str!("../../docs/OPERATIONS.md");
 
-/// What stands before an event's name in the code.
-const MARK: &str = "event = \"";
+/// Text that precedes an event name in the source.
+const EVENT_PREFIX: &str = "event = \"";
 
-/// The text of all of the product's source files.
+/// Returns the concatenated text of all source files below a folder.
 fn sources(folder: &path::Path) -> String {
-    let entries = fs::read_dir(folder).expect("the folder is there");
-    let paths = entries.map(|entry| entry.expect("the folder can be read").path());
+    let entries = fs::read_dir(folder).expect("the folder exists");
+    let paths = entries.map(|entry| entry.expect("the folder is readable").path());
     let texts = paths.map(|path| {
         if path.is_dir() {
             return sources(&path);
         }
-        fs::read_to_string(path).expect("the file is text")
+        fs::read_to_string(path).expect("the file is UTF-8")
     });
     texts.collect()
 }
 
-fn events_of_code(text: &str) -> collections::BTreeSet<&str> {
-    let after = text.split(MARK).skip(1);
+fn source_events(text: &str) -> collections::BTreeSet<&str> {
+    let after = text.split(EVENT_PREFIX).skip(1);
     after.filter_map(|rest| rest.split('"').next()).collect()
 }
 
-/// The names in the first column of the table of events.
-fn events_of_page() -> collections::BTreeSet<&'static str> {
-    let (_, table) = PAGE.split_once("| `event` |").expect("the table");
+/// Returns the names in the first column of the page's table of events.
+fn page_events() -> collections::BTreeSet<&'static str> {
+    let (_, table) = PAGE
+        .split_once("| `event` |")
+        .expect("the page has a table of events");
     let rows = table
         .lines()
         .skip(2)
@@ -41,15 +43,23 @@
 }
 
 #[test]
-fn page_lists_every_event() {
+fn page_lists_exactly_the_logged_events() {
     let text = sources(&path::Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
 
-    let (code, page) = (events_of_code(&text), events_of_page());
+    let (code, page) = (source_events(&text), page_events());
 
     assert!(code.len() > 30, "{code:?}");
-    assert_eq!(&code - &page, collections::BTreeSet::new(), "not listed");
-    // A name that is chosen when the line is written stands in the code without the mark.
+    assert_eq!(
+        &code - &page,
+        collections::BTreeSet::new(),
+        "logged but not on the page"
+    );
+    // An event name that is selected at run time occurs in the source without the prefix.
     let is_unknown = |event: &&&str| !text.contains(&format!("\"{event}\""));
     let unknown: Vec<_> = page.iter().filter(is_unknown).collect();
-    assert_eq!(unknown, Vec::<&&str>::new(), "not in the code");
+    assert_eq!(
+        unknown,
+        Vec::<&&str>::new(),
+        "on the page but not in the source"
+    );
 }
--- a/tests/unit/settings.rs
+++ b/tests/unit/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: merging, checking, the state machine over the log, following the log.
+//! Settings: merging, validation, the state machine over the log, and the log reader.
 
 mod check;
 pub(crate) mod fixtures;
--- a/tests/unit/settings/check.rs
+++ b/tests/unit/settings/check.rs
@@ -1,4 +1,4 @@
-//! What a folder may hold, and how a refusal names its place.
+//! Validation of a folder, and the positions reported for its problems.
 
 use std::fmt::Write;
 
@@ -15,13 +15,13 @@
     digit.to_string().repeat(ranges::TOKEN_HASH_DIGITS)
 }
 
-fn refusals(files: &merge::Files) -> Vec<String> {
-    let problems = settings::check_folder(files).expect_err("the folder is bad");
+fn rejection_reasons(files: &merge::Files) -> Vec<String> {
+    let problems = settings::check_folder(files).expect_err("the folder is invalid");
     problems.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn empty_folder_is_the_defaults() {
+fn empty_folder_gives_default_settings() {
     let files = fixtures::folder(&[]);
 
     let settings = settings::check_folder(&files).expect("nothing is wrong");
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn defaults_written_out_check_out() {
+fn valid_keys_override_defaults() {
     let text = format!(
         "[teams.a]\ntoken_sha256 = [\"{}\"]\n[zones.bento]\nout = true\n[timeouts]\nfresh_ms = 2_000\n\
          [policy]\nretry_ratio = 0\n",
@@ -94,14 +94,14 @@
 )]
 #[case::beyond_i64("a = 99999999999999999999\n", codes::Code::SettingsSyntax, 1)]
 #[case::no_text("\u{0}", codes::Code::SettingsSyntax, 1)]
-fn bad_file_is_refused_with_its_place(
+fn invalid_file_is_rejected_with_its_position(
     #[case] text: &str,
     #[case] code: codes::Code,
     #[case] line: u32,
 ) {
     let files = fixtures::folder(&[("10-good.toml", "[zones.x]\n"), ("20-bad.toml", text)]);
 
-    let problems = settings::check_folder(&files).expect_err("the file is bad");
+    let problems = settings::check_folder(&files).expect_err("the file is invalid");
 
     let first = &problems[0];
     assert_eq!((first.code, first.line), (code, line), "{problems:?}");
@@ -114,13 +114,13 @@
 }
 
 #[test]
-fn all_problems_are_listed_in_order() {
+fn all_problems_are_listed_in_file_and_line_order() {
     let files = fixtures::folder(&[
         ("20.toml", "[limits]\nmax_queued = 0\nnone = 1\n"),
         ("10.toml", "[zones]\na = 1\n\n[policy]\nage_ms = \"x\"\n"),
     ]);
 
-    let refusals = refusals(&files);
+    let rejection_reasons = rejection_reasons(&files);
 
     let expected = [
         "10.toml:2: `zones.a` must be a table, not an integer",
@@ -128,46 +128,47 @@
         "20.toml:2: `limits.max_queued` is 0; it must be from 1 to 1000000",
         "20.toml:3: `limits.none` is not a known key",
     ];
-    assert_eq!(refusals, expected);
+    assert_eq!(rejection_reasons, expected);
 }
 
 #[test]
-fn relation_is_reported_where_it_was_set_last() {
+fn violated_relation_is_reported_at_the_last_origin() {
     let files = fixtures::folder(&[
         ("10.toml", "[timeouts]\nfresh_ms = 900\n"),
         ("20.toml", "\n\n[timeouts]\nheartbeat_ms = 460\n"),
     ]);
 
-    let refusals = refusals(&files);
+    let rejection_reasons = rejection_reasons(&files);
 
     let text = "20.toml:4: `timeouts.fresh_ms` must be at least twice heartbeat_ms, or one lost \
                 heartbeat stops all work";
-    assert_eq!(refusals, [text]);
+    assert_eq!(rejection_reasons, [text]);
 }
 
 #[test]
-fn table_is_reported_where_it_was_opened_last() {
+fn unknown_table_is_reported_at_its_last_header() {
     let files = fixtures::folder(&[("10.toml", "[teem]\n"), ("20.toml", "\n[teem]\n")]);
 
-    let refusals = refusals(&files);
+    let rejection_reasons = rejection_reasons(&files);
 
-    assert_eq!(refusals, ["20.toml:2: `teem` is not a known key"]);
+    assert_eq!(rejection_reasons, ["20.toml:2: `teem` is not a known key"]);
 }
 
 #[test]
-fn overridden_fault_is_no_fault() {
+fn overridden_invalid_value_is_accepted() {
     let files = fixtures::folder(&[
         ("10.toml", "[limits]\nmax_queued = 0\n"),
         ("20.toml", "[limits]\nmax_queued = 900\n"),
     ]);
 
-    let settings = settings::check_folder(&files).expect("the last file settles it");
+    let settings =
+        settings::check_folder(&files).expect("the last file overrides the invalid value");
 
     assert_eq!(settings.limits.max_queued, 900);
 }
 
 #[test]
-fn shared_token_is_refused_at_the_second_team() {
+fn token_shared_by_two_teams_is_rejected_at_the_second() {
     let one = format!("[teams.a]\ntoken_sha256 = [\"{}\"]\n", hash('1'));
     let two = format!(
         "[teams.b]\ntoken_sha256 = [\n\"{}\",\n\"{}\"]\n",
@@ -176,22 +177,22 @@
     );
     let files = fixtures::folder(&[("10.toml", &one), ("20.toml", &two)]);
 
-    let refusals = refusals(&files);
+    let rejection_reasons = rejection_reasons(&files);
 
     let text = "20.toml:4: `teams.b.token_sha256` has a hash that team `a` has already";
-    assert_eq!(refusals, [text]);
+    assert_eq!(rejection_reasons, [text]);
 }
 
 #[test]
-fn empty_token_opens_nothing() {
+fn hash_of_the_empty_token_is_rejected() {
     let empty = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
     let text = format!("[teams.a]\ntoken_sha256 = [\"{empty}\"]\n");
     let files = fixtures::folder(&[("10.toml", &text)]);
 
-    let refusals = refusals(&files);
+    let rejection_reasons = rejection_reasons(&files);
 
     assert_eq!(
-        refusals,
+        rejection_reasons,
         ["10.toml:2: `teams.a.token_sha256` has the hash of the empty token"]
     );
 }
@@ -209,18 +210,18 @@
 #[case::up("../a.toml", false)]
 #[case::empty("", false)]
 #[case::accent("é.toml", false)]
-fn file_names(#[case] name: &str, #[case] good: bool) {
+fn file_name_is_validated(#[case] name: &str, #[case] is_valid: bool) {
     let files = fixtures::folder(&[(name, "")]);
 
     let result = settings::check_folder(&files);
 
-    assert_eq!(check::is_file_name(name), good);
+    assert_eq!(check::is_file_name(name), is_valid);
     let code = result.err().map(|problems| problems[0].code);
-    assert_eq!(code, (!good).then_some(codes::Code::SettingsBadName));
+    assert_eq!(code, (!is_valid).then_some(codes::Code::SettingsBadName));
 }
 
 #[test]
-fn sizes_are_capped() {
+fn size_limits_are_inclusive() {
     let comment = |bytes: usize| format!("#{}", "x".repeat(bytes - 1));
     let many = |count: usize, bytes: usize| -> merge::Files {
         let name = |i| smol_str::format_smolstr!("{i}.toml");
@@ -228,36 +229,39 @@
     };
     let code = |files: merge::Files| settings::check_folder(&files).err().map(|p| p[0].code);
 
-    let largest_file = code(many(1, ranges::MAX_FILE_BYTES));
-    let larger_file = code(many(1, ranges::MAX_FILE_BYTES + 1));
-    let most_files = code(many(ranges::MAX_FILES, 1));
-    let more_files = code(many(ranges::MAX_FILES + 1, 1));
-    let large_folder = code(many(8, ranges::MAX_FILE_BYTES - 16));
-    let larger_folder = code(many(8, ranges::MAX_FILE_BYTES));
+    let max_size_file = code(many(1, ranges::MAX_FILE_BYTES));
+    let oversized_file = code(many(1, ranges::MAX_FILE_BYTES + 1));
+    let max_files = code(many(ranges::MAX_FILES, 1));
+    let too_many_files = code(many(ranges::MAX_FILES + 1, 1));
+    let max_size_folder = code(many(8, ranges::MAX_FILE_BYTES - 16));
+    let oversized_folder = code(many(8, ranges::MAX_FILE_BYTES));
 
-    assert_eq!([largest_file, most_files, large_folder], [None; 3]);
-    let refused = Some(codes::Code::SettingsTooLarge);
-    assert_eq!([larger_file, more_files, larger_folder], [refused; 3]);
+    assert_eq!([max_size_file, max_files, max_size_folder], [None; 3]);
+    let too_large = Some(codes::Code::SettingsTooLarge);
+    assert_eq!(
+        [oversized_file, too_many_files, oversized_folder],
+        [too_large; 3]
+    );
 }
 
-// An operator's script writes a file with thousands of nested levels. If depth were
-// not bounded before recursion, every process of the deployment would overflow its
-// stack on the same record, and again after each restart.
+// Guards against a stack overflow: if the depth were not limited before recursion, a file
+// with thousands of nested levels would crash every process on the same record, and again
+// after each restart.
 #[rstest]
 #[case::arrays("a = ", "[")]
 #[case::inline_tables("a = ", "{a=")]
 #[case::dotted_keys("", "a.")]
 #[case::header("[", "a.")]
-fn deep_nesting_is_refused(#[case] start: &str, #[case] level: &str) {
+fn deep_nesting_is_rejected(#[case] start: &str, #[case] level: &str) {
     let mut text = String::from(start);
     while text.len() < ranges::MAX_FILE_BYTES - 16 {
         text.push_str(level);
     }
-    write!(text, "a").expect("a string takes all");
+    write!(text, "a").expect("writing to a string succeeds");
     text.push_str(if start == "[" { "]" } else { " = 1" });
     let files = fixtures::folder(&[("10.toml", &text)]);
 
-    let problems = settings::check_folder(&files).expect_err("it is too deep");
+    let problems = settings::check_folder(&files).expect_err("the nesting is too deep");
 
     assert_eq!(problems[0].code, codes::Code::SettingsSyntax);
 }
--- a/tests/unit/settings/fixtures.rs
+++ b/tests/unit/settings/fixtures.rs
@@ -1,4 +1,4 @@
-//! Records, batches and folders for the tests of settings and of their trail.
+//! Records, batches and folders for the tests of settings and the audit trail.
 
 use bulrushtiller::settings;
 use bulrushtiller::settings::merge;
@@ -7,7 +7,7 @@
 use proptest::test_runner;
 use smol_str::SmolStr;
 
-/// A runner whose cases are the same every time.
+/// Returns a test runner with deterministic cases.
 pub(crate) fn fixed_runner(cases: u32) -> test_runner::TestRunner {
     let config = test_runner::Config {
         cases,
@@ -20,11 +20,11 @@
 }
 
 pub(crate) fn folder(files: &[(&str, &str)]) -> merge::Files {
-    let own = |(name, text): &(&str, &str)| (SmolStr::new(name), (*text).to_owned());
-    files.iter().map(own).collect()
+    let to_owned_pair = |(name, text): &(&str, &str)| (SmolStr::new(name), (*text).to_owned());
+    files.iter().map(to_owned_pair).collect()
 }
 
-/// A change of `10.toml` by the operator that its id names.
+/// Returns a change of `10.toml` whose author is its id.
 pub(crate) fn change(id: &str, text: Option<&str>, base: Option<u64>) -> settings::Change {
     settings::Change {
         version: record::VERSION,
@@ -38,7 +38,7 @@
 }
 
 pub(crate) fn document(record: &settings::Record) -> serde_json::Value {
-    serde_json::to_value(record).expect("a record is JSON")
+    serde_json::to_value(record).expect("a record can be encoded")
 }
 
 pub(crate) fn change_document(change: settings::Change) -> serde_json::Value {
@@ -49,7 +49,7 @@
     document(&settings::Record::Checkpoint(checkpoint))
 }
 
-/// Numbers documents from `first` on.
+/// Assigns consecutive offsets to documents, from `first` on.
 pub(crate) fn entries(first: u64, documents: &[serde_json::Value]) -> Vec<reader::Entry> {
     (first..)
         .zip(documents.iter().cloned())
@@ -57,7 +57,7 @@
         .collect()
 }
 
-/// Everything that a log keeps from `first` on.
+/// Returns a batch with all records of a log whose oldest kept offset is `first`.
 pub(crate) fn batch(first: u64, documents: &[serde_json::Value]) -> reader::Batch {
     reader::Batch {
         first,
--- a/tests/unit/settings/merge.rs
+++ b/tests/unit/settings/merge.rs
@@ -1,4 +1,4 @@
-//! The merge against a naive one that flattens each file and overrides key by key.
+//! The merge, compared with a reference that flattens each file and overrides key by key.
 
 use std::collections;
 
@@ -51,7 +51,7 @@
     }
 }
 
-fn naive_merge(files: &merge::Files) -> Flat {
+fn reference_merge(files: &merge::Files) -> Flat {
     let mut merged = Flat::new();
     for text in files.values() {
         let mut flat = Flat::new();
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn merge_equals_the_naive_one() {
+fn merge_matches_the_reference_merge() {
     let mut runner = fixtures::fixed_runner(512);
 
     let result = runner.run(&any_folder(), |files| {
         let merged = merge::merge(&files).expect("every file is TOML");
-        prop_assert_eq!(reparse(&diff::flatten(&merged)), naive_merge(&files));
+        prop_assert_eq!(reparse(&diff::flatten(&merged)), reference_merge(&files));
         Ok(())
     });
 
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn diff_leads_from_one_folder_to_the_other() {
+fn diff_applied_to_the_old_folder_gives_the_new_one() {
     let mut runner = fixtures::fixed_runner(512);
 
     let result = runner.run(&(any_folder(), any_folder()), |(old, new)| {
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn removal_of_a_file_brings_back_what_it_covered() {
+fn removing_a_file_restores_the_values_it_overrode() {
     let mut files = fixtures::folder(&[
         ("10.toml", "[limits]\nmax_queued = 900\n"),
         ("20.toml", "[limits]\nmax_queued = 800\n"),
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn later_file_names_the_origin() {
+fn origin_is_the_last_file_that_set_the_key() {
     let files = fixtures::folder(&[
         ("10.toml", "[limits]\nmax_queued = 900\n"),
         ("20.toml", "# later\n\nlimits.max_queued = 800\n"),
--- a/tests/unit/settings/pages.rs
+++ b/tests/unit/settings/pages.rs
@@ -1,4 +1,4 @@
-//! The page and the examples against the code.
+//! Compares the documentation of the settings and the examples with the code.
 
 use std::collections;
 use std::fs;
@@ -12,10 +12,10 @@
 
 use super::fixtures;
 
-/// Whole numbers and ratios that the page lists.
+/// Number of integer and ratio keys that the page lists.
 const LISTED_KEYS: usize = 31;
 
-/// One row of the page's table of keys.
+/// One row of the page's table of settings keys.
 struct Row {
     key: String,
     low: String,
@@ -28,7 +28,7 @@
 }
 
 fn rows() -> Vec<Row> {
-    let page = fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page is there");
+    let page = fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page exists");
     page.lines().filter_map(row).collect()
 }
 
@@ -47,16 +47,16 @@
 }
 
 fn example(name: &str) -> merge::Files {
-    let files = fs::read_dir(root().join("examples").join(name)).expect("the folder is there");
+    let files = fs::read_dir(root().join("examples").join(name)).expect("the folder exists");
     let read = |file: fs::DirEntry| {
-        let name = SmolStr::new(file.file_name().to_str().expect("the name is plain"));
+        let name = SmolStr::new(file.file_name().to_str().expect("the name is UTF-8"));
         (
             name,
-            fs::read_to_string(file.path()).expect("the file is text"),
+            fs::read_to_string(file.path()).expect("the file is UTF-8"),
         )
     };
     files
-        .map(|file| read(file.expect("the folder can be read")))
+        .map(|file| read(file.expect("the folder is readable")))
         .collect()
 }
 
@@ -69,8 +69,8 @@
         .concat()
 }
 
-/// The refusals of a value, without those that come of its relation to others.
-fn range_refusals(key: &str, value: &str) -> Vec<String> {
+/// Returns the reasons for rejecting a value, without those for its relation to other keys.
+fn range_rejections(key: &str, value: &str) -> Vec<String> {
     let files = fixtures::folder(&[("10.toml", &format!("{key} = {value}\n"))]);
     let problems = settings::check_folder(&files).err().unwrap_or_default();
     let texts = problems.iter().map(|problem| problem.reason.clone());
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn page_lists_every_default() {
+fn page_lists_the_default_of_every_key() {
     let rows = rows();
     let line = |row: &Row| format!("{} = {}", row.key, row.default);
     let text: Vec<String> = rows.iter().map(line).collect();
     let files = fixtures::folder(&[("10.toml", &text.join("\n"))]);
 
-    let settings = settings::check_folder(&files).expect("the defaults are good");
+    let settings = settings::check_folder(&files).expect("the defaults are valid");
 
     assert_eq!(rows.len(), LISTED_KEYS);
     let team = (SmolStr::new("NAME"), settings::Team::default());
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn page_lists_every_range() {
+fn page_lists_the_range_of_every_key() {
     for Row { key, low, high, .. } in rows() {
         let text = |value: &str| format!("`{key}` is {value}; it must be from {low} to {high}");
 
-        let within = [range_refusals(&key, &low), range_refusals(&key, &high)].concat();
-        let below = range_refusals(&key, "-1");
-        let above = range_refusals(&key, "99999999");
+        let within = [range_rejections(&key, &low), range_rejections(&key, &high)].concat();
+        let below = range_rejections(&key, "-1");
+        let above = range_rejections(&key, "99999999");
 
         assert_eq!(within, [] as [String; 0]);
         assert_eq!((below, above), (vec![text("-1")], vec![text("99999999")]));
@@ -118,10 +118,10 @@
     ("formulario", "formulario-example-token"),
     ("inspectors", "formulario-inspectors-example-token"),
 ])]
-fn example_checks_out(#[case] name: &str, #[case] zones: &[&str], #[case] tokens: &[(&str, &str)]) {
+fn example_is_valid(#[case] name: &str, #[case] zones: &[&str], #[case] tokens: &[(&str, &str)]) {
     let files = example(name);
 
-    let settings = settings::check_folder(&files).expect("the example is good");
+    let settings = settings::check_folder(&files).expect("the example is valid");
 
     assert!(settings.zones.keys().eq(zones));
     assert!(zones.iter().all(|zone| !settings.is_zone_out(zone)));
@@ -130,13 +130,14 @@
     }
 }
 
-// Taipa's operators take a zone out and bring it back; its work must move at once.
-// Formulario's callers stand at a bench; they are refused early and wait behind nobody.
+// Taipa's operators take zones out of service and bring them back, and its work must move at
+// once. Formulario's callers wait for answers in person: they prefer an early rejection to a
+// long queue.
 #[test]
-fn examples_weigh_what_their_users_weigh() {
+fn example_policies_reflect_the_needs_of_their_users() {
     let policy = |name| {
         settings::check_folder(&example(name))
-            .expect("it is good")
+            .expect("the example is valid")
             .policy
     };
 
--- a/tests/unit/settings/reader.rs
+++ b/tests/unit/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Following the log: missing records, late answers, checkpoints in time.
+//! The log reader: missing records, late answers and the timing of checkpoints.
 
 use bulrushtiller::settings;
 use bulrushtiller::settings::reader;
@@ -7,7 +7,7 @@
 use super::fixtures;
 
 const CHECKPOINT_MS: u64 = 60_000;
-const MANY: usize = 100;
+const MAX_CHANGES: usize = 100;
 
 fn numbered_change(number: usize) -> serde_json::Value {
     let text = format!("[limits]\nmax_queued = {}\n", 1_000 + number);
@@ -22,7 +22,7 @@
     settings::Reader::new(settings::State::new(), 0)
 }
 
-/// A reader that has taken in a whole log.
+/// Returns a reader that has applied a whole log.
 fn at_end(now_ms: u64, documents: &[serde_json::Value]) -> settings::Reader {
     let mut reader = follower();
     let taken = reader.apply_batch(now_ms, fixtures::batch(0, documents));
@@ -34,11 +34,11 @@
     fixtures::checkpoint_document(reader.state().checkpoint("entry-1"))
 }
 
-// The log is shut off for an hour, in which its oldest records expire. An entry then
-// reads on and is answered with records that don't join on to its own. Had it gone on
-// from there, a zone-out among the lost records would never be in force on it.
+// The log is unreachable for an hour in which its oldest records expire, so the next records
+// that an entry reads are not contiguous with its own. If it applied them, a zone taken out
+// of service by one of the expired records would stay in service on that entry.
 #[test]
-fn missing_records_are_never_jumped() {
+fn expired_records_are_not_skipped() {
     let mut log = changes(5);
     let mut reader = at_end(0, &log[..1]);
     log.push(numbered_change(5));
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn checkpoint_on_the_log_bridges_missing_records() {
+fn checkpoint_on_the_log_covers_missing_records() {
     let mut log = changes(5);
-    let whole = at_end(0, &log);
-    log.push(checkpoint_of(&whole));
+    let full_reader = at_end(0, &log);
+    log.push(checkpoint_of(&full_reader));
     log.push(numbered_change(5));
     let mut reader = follower();
 
@@ -67,10 +67,10 @@
 }
 
 #[test]
-fn checkpoint_is_found_over_several_reads() {
+fn checkpoint_is_found_across_several_reads() {
     let mut log = changes(5);
-    let whole = at_end(0, &log);
-    log.push(checkpoint_of(&whole));
+    let full_reader = at_end(0, &log);
+    log.push(checkpoint_of(&full_reader));
     let mut reader = follower();
     let part = |from: usize, to: usize| reader::Batch {
         first: 3,
@@ -89,12 +89,12 @@
 }
 
 #[test]
-fn checkpoint_with_a_gap_before_it_is_passed_by() {
+fn checkpoint_followed_by_a_gap_is_ignored() {
     let log = changes(5);
-    let early = checkpoint_of(&at_end(0, &log[..2]));
+    let early_checkpoint = checkpoint_of(&at_end(0, &log[..2]));
     let mut reader = follower();
 
-    let taken = reader.apply_batch(1, fixtures::batch(4, &[early]));
+    let taken = reader.apply_batch(1, fixtures::batch(4, &[early_checkpoint]));
 
     assert_eq!(
         (taken.read_status, reader.state().position()),
@@ -102,10 +102,10 @@
     );
 }
 
-// A checkpoint names a position that the log had not reached when it was appended.
-// Whoever started from it would skip the records in between, which all others apply.
+// A checkpoint has a position that the log had not reached when it was appended. A process
+// that started from it would skip the records in between, which all others apply.
 #[test]
-fn checkpoint_ahead_of_the_log_is_passed_by() {
+fn checkpoint_ahead_of_the_log_is_ignored() {
     let ahead = checkpoint_of(&at_end(0, &changes(9)));
     let mut reader = follower();
 
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn peer_bridges_missing_records() {
+fn state_of_a_peer_covers_missing_records() {
     let log = changes(6);
     let peer = at_end(0, &log[..5]);
     let mut reader = follower();
@@ -152,11 +152,10 @@
     assert_eq!(reader.state(), at_end(0, &log).state());
 }
 
-// An answer that was under way for long arrives after a newer one. Were its end taken
-// for the log's end, the process would think itself fresh while it knows nothing of
-// the present.
+// A delayed answer arrives after a newer one. If its end counted as the end of the log, the
+// process would consider itself fresh without knowing the latest records.
 #[test]
-fn late_answer_is_no_evidence() {
+fn late_answer_is_reported_as_stale() {
     let log = changes(4);
     let mut reader = at_end(0, &log);
 
@@ -170,32 +169,35 @@
 #[case::nothing_ever(0, 100 * CHECKPOINT_MS, false)]
 #[case::young(1, CHECKPOINT_MS - 1, false)]
 #[case::old_with_a_change(1, CHECKPOINT_MS, true)]
-#[case::many_changes(MANY, 0, true)]
-#[case::almost_many(MANY - 1, 0, false)]
-fn checkpoint_falls_due(#[case] count: usize, #[case] now_ms: u64, #[case] due: bool) {
+#[case::many_changes(MAX_CHANGES, 0, true)]
+#[case::almost_many(MAX_CHANGES - 1, 0, false)]
+fn checkpoint_is_due_by_age_or_number_of_changes(
+    #[case] count: usize,
+    #[case] now_ms: u64,
+    #[case] expected: bool,
+) {
     let mut reader = at_end(0, &changes(count));
 
     let is_due = reader.checkpoint_due(now_ms, 0);
 
-    assert_eq!(is_due, due);
+    assert_eq!(is_due, expected);
 }
 
 #[rstest]
 #[case::nothing_changed(CHECKPOINT_MS, false)]
 #[case::refresh(reader::REFRESH_FACTOR * CHECKPOINT_MS, true)]
-fn checkpoint_on_the_log_counts(#[case] now_ms: u64, #[case] due: bool) {
+fn checkpoint_on_the_log_delays_the_next_one(#[case] now_ms: u64, #[case] expected: bool) {
     let mut log = changes(3);
     log.push(checkpoint_of(&at_end(0, &log)));
     let mut reader = at_end(0, &log);
 
     let is_due = reader.checkpoint_due(now_ms, 0);
 
-    assert_eq!(is_due, due);
+    assert_eq!(is_due, expected);
 }
 
-// Nobody changes anything for days and the log drops its oldest records by age. When
-// the last checkpoint goes too, an entry that starts finds an empty log, and nothing
-// tells it which zones are out.
+// Without changes for days, the log expires its records by age. If the last checkpoint expired
+// too, a starting entry would find an empty log and not know which zones are out of service.
 #[test]
 fn checkpoint_is_renewed_before_it_expires() {
     let mut log = changes(10);
@@ -208,39 +210,39 @@
     };
 
     reader.apply_batch(1, kept_from(4));
-    let early = reader.checkpoint_due(1, 0);
+    let before_half = reader.checkpoint_due(1, 0);
     reader.apply_batch(2, kept_from(5));
-    let half_way = reader.checkpoint_due(2, 0);
+    let at_half = reader.checkpoint_due(2, 0);
 
-    assert_eq!((early, half_way), (false, true));
+    assert_eq!((before_half, at_half), (false, true));
 }
 
 #[test]
-fn jitter_lets_one_entry_write_for_all() {
+fn checkpoint_written_during_the_jitter_spares_other_processes() {
     let mut log = changes(3);
     let (mut eager, mut patient) = (at_end(0, &log), at_end(0, &log));
     let jitter_ms = reader::max_jitter_ms(CHECKPOINT_MS);
 
     let first = eager.checkpoint_due(CHECKPOINT_MS, 0);
-    let held_back = patient.checkpoint_due(CHECKPOINT_MS, jitter_ms);
+    let delayed = patient.checkpoint_due(CHECKPOINT_MS, jitter_ms);
     log.push(checkpoint_of(&eager));
     patient.apply_batch(CHECKPOINT_MS + 5, fixtures::batch(0, &log));
-    let spared = patient.checkpoint_due(CHECKPOINT_MS + jitter_ms, jitter_ms);
+    let after_write = patient.checkpoint_due(CHECKPOINT_MS + jitter_ms, jitter_ms);
 
-    assert_eq!((first, held_back, spared), (true, false, false));
+    assert_eq!((first, delayed, after_write), (true, false, false));
 }
 
 #[test]
-fn lost_checkpoint_is_tried_again_after_a_pause() {
+fn lost_checkpoint_is_retried_after_a_pause() {
     let mut reader = at_end(0, &changes(3));
-    let due = reader.checkpoint_due(CHECKPOINT_MS, 0);
+    let initial = reader.checkpoint_due(CHECKPOINT_MS, 0);
     reader.checkpoint_attempted(CHECKPOINT_MS);
     let pause_ms = reader::max_jitter_ms(CHECKPOINT_MS);
 
     let at_once = reader.checkpoint_due(CHECKPOINT_MS + pause_ms - 1, 0);
     let later = reader.checkpoint_due(CHECKPOINT_MS + pause_ms, 0);
 
-    assert_eq!((due, at_once, later), (true, false, true));
+    assert_eq!((initial, at_once, later), (true, false, true));
 }
 
 #[test]
--- a/tests/unit/settings/replicas.rs
+++ b/tests/unit/settings/replicas.rs
@@ -1,5 +1,5 @@
-//! Many readers under bad delivery against a naive replica that sees the whole log
-//! and replays it from the start for every question.
+//! Several readers under unreliable delivery, compared with a reference that replays the
+//! whole log from its start.
 
 use std::collections;
 
@@ -27,7 +27,7 @@
     "[broken",
 ];
 
-/// What an operator bases a change on.
+/// Base revision of an operator's change.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Base {
     Any,
@@ -35,17 +35,17 @@
     Older,
 }
 
-/// One thing that happens to the log or to a replica.
+/// One action on the log or a replica.
 #[derive(Clone, Debug, PartialEq)]
 enum Step {
     Change(u8, usize, Option<usize>, Base),
-    Race([usize; 2]),
+    Conflict([usize; 2]),
     Junk,
     Checkpoint(usize),
     Expire(usize),
     Deliver(usize, usize, usize, bool),
-    Late(usize, usize),
-    Peer(usize, usize),
+    DeliverLate(usize, usize),
+    AdoptFromPeer(usize, usize),
     Restart(usize),
 }
 
@@ -55,43 +55,43 @@
     let replica = 0..REPLICAS;
     prop_oneof![
         6 => (0_u8..24, 0..FILES.len(), text, base).prop_map(|(i, f, t, b)| Step::Change(i, f, t, b)),
-        2 => [0..TEXTS.len(), 0..TEXTS.len()].prop_map(Step::Race),
+        2 => [0..TEXTS.len(), 0..TEXTS.len()].prop_map(Step::Conflict),
         1 => proptest::strategy::Just(Step::Junk),
         2 => replica.clone().prop_map(Step::Checkpoint),
         2 => (1_usize..6).prop_map(Step::Expire),
         8 => (replica.clone(), 0_usize..4, 1_usize..6, proptest::bool::ANY)
             .prop_map(|(r, back, count, shuffle)| Step::Deliver(r, back, count, shuffle)),
-        2 => (replica.clone(), 0_usize..8).prop_map(|(r, cut)| Step::Late(r, cut)),
-        2 => (replica.clone(), replica.clone()).prop_map(|(to, from)| Step::Peer(to, from)),
+        2 => (replica.clone(), 0_usize..8).prop_map(|(r, missing)| Step::DeliverLate(r, missing)),
+        2 => (replica.clone(), replica.clone()).prop_map(|(to, from)| Step::AdoptFromPeer(to, from)),
         1 => replica.prop_map(Step::Restart),
     ]
 }
 
-/// The outcome of replaying a log.
+/// Result of replaying a log.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Naive {
+struct Replay {
     files: merge::Files,
     revision: Option<u64>,
     seen: Vec<SmolStr>,
-    /// Offsets of accepted changes by the base that they named.
-    winners: collections::BTreeMap<u64, Vec<u64>>,
+    /// Offsets of accepted changes by their base.
+    accepted_by_base: collections::BTreeMap<u64, Vec<u64>>,
 }
 
-fn naive(log: &[serde_json::Value]) -> Naive {
-    let mut naive = Naive::default();
+fn replay(log: &[serde_json::Value]) -> Replay {
+    let mut replay = Replay::default();
     for (offset, document) in (0..).zip(log) {
         let Ok(change) = serde_json::from_value::<settings::Change>(document.clone()) else {
             continue;
         };
-        if naive.seen.contains(&change.id) {
+        if replay.seen.contains(&change.id) {
             continue;
         }
-        naive.seen.push(change.id);
-        let in_force = naive.revision.unwrap_or(record::BEFORE_FIRST);
+        replay.seen.push(change.id);
+        let in_force = replay.revision.unwrap_or(record::BEFORE_FIRST);
         if change.base.is_some_and(|base| base != in_force) {
             continue;
         }
-        let mut files = naive.files.clone();
+        let mut files = replay.files.clone();
         let known = files.remove(&change.file).is_some();
         if change.text.is_none() && !known {
             continue;
@@ -100,22 +100,22 @@
         if settings::check_folder(&files).is_err() {
             continue;
         }
-        naive.files = files;
-        naive.revision = Some(offset);
-        naive
-            .winners
+        replay.files = files;
+        replay.revision = Some(offset);
+        replay
+            .accepted_by_base
             .entry(change.base.unwrap_or(u64::MAX - 1))
             .or_default()
             .push(offset);
     }
-    naive
+    replay
 }
 
-/// A log that expires, and replicas that follow it.
-struct World {
+/// A log with expiring records, and replicas that follow it.
+struct Simulation {
     log: Vec<serde_json::Value>,
     first: usize,
-    races: u32,
+    conflict_count: u32,
     replicas: Vec<settings::Reader>,
 }
 
@@ -123,12 +123,12 @@
     settings::Reader::new(settings::State::new(), 0)
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         Self {
             log: Vec::new(),
             first: 0,
-            races: 0,
+            conflict_count: 0,
             replicas: (0..REPLICAS).map(|_| new_replica()).collect(),
         }
     }
@@ -141,7 +141,7 @@
     }
 
     fn base(&self, base: Base) -> Option<u64> {
-        let in_force = naive(&self.log).revision;
+        let in_force = replay(&self.log).revision;
         match base {
             Base::Any => None,
             Base::InForce => Some(record::base_of(in_force)),
@@ -169,11 +169,16 @@
                 let base = self.base(base);
                 self.change(&format!("id{id}"), file, text, base);
             }
-            Step::Race(texts) => {
+            Step::Conflict(texts) => {
                 let base = self.base(Base::InForce);
-                self.races += 1;
-                for (who, text) in ["ana", "bia"].into_iter().zip(texts) {
-                    self.change(&format!("{who}{}", self.races), 0, Some(text), base);
+                self.conflict_count += 1;
+                for (operator, text) in ["ana", "bia"].into_iter().zip(texts) {
+                    self.change(
+                        &format!("{operator}{}", self.conflict_count),
+                        0,
+                        Some(text),
+                        base,
+                    );
                 }
             }
             Step::Junk => self.log.push(serde_json::json!({"type": "other"})),
@@ -191,12 +196,12 @@
                 }
                 self.deliver(replica, batch);
             }
-            Step::Late(replica, cut) => {
-                let mut batch = self.batch(self.first, self.log.len().saturating_sub(cut));
-                batch.next = batch.first.max(batch.next.saturating_sub(cut as u64));
+            Step::DeliverLate(replica, missing) => {
+                let mut batch = self.batch(self.first, self.log.len().saturating_sub(missing));
+                batch.next = batch.first.max(batch.next.saturating_sub(missing as u64));
                 self.deliver(replica, batch);
             }
-            Step::Peer(to, from) => {
+            Step::AdoptFromPeer(to, from) => {
                 let offered = self.replicas[from].state().checkpoint("entry");
                 let adopted = self.replicas[to].adopt(&offered);
                 assert!(adopted.is_ok(), "{adopted:?}");
@@ -209,8 +214,8 @@
         }
     }
 
-    /// Whether the state can still be had by one that starts, from a replica other
-    /// than `without` or from a checkpoint on the log.
+    /// Returns whether a starting replica can obtain the state, from a replica other than
+    /// `without`, from a checkpoint on the log or from the complete log.
     fn is_recoverable(&self, first: usize, without: Option<usize>) -> bool {
         let first = first as u64;
         let others = (0..REPLICAS).filter(|replica| Some(*replica) != without);
@@ -223,7 +228,7 @@
         first == 0 || positions.any(|p| p >= first) || marks.any(|p| p >= first)
     }
 
-    /// Records expire no faster than states are handed on.
+    /// Expires records as long as a starting replica can still obtain the state.
     fn expire(&mut self, count: usize) {
         for _ in 0..count {
             let first = self.first + 1;
@@ -233,14 +238,14 @@
         }
     }
 
-    /// Lets everyone read to the end, with the help of the replica furthest on.
+    /// Brings every replica to the end of the log, using the state of the one furthest ahead.
     fn settle(&mut self) {
         self.deliver_all();
         let furthest = self.replicas.iter().map(settings::Reader::state);
         let furthest = furthest.max_by_key(|state| state.position());
         let offered = furthest.expect("there are replicas").checkpoint("entry");
         for replica in &mut self.replicas {
-            replica.adopt(&offered).expect("a replica's state is good");
+            replica.adopt(&offered).expect("a replica's state is valid");
         }
         self.deliver_all();
     }
@@ -254,13 +259,13 @@
 }
 
 fn check_replica(
-    world: &World,
+    simulation: &Simulation,
     replica: &settings::Reader,
 ) -> Result<(), test_runner::TestCaseError> {
     let state = replica.state();
     let position = usize::try_from(state.position()).unwrap_or(usize::MAX);
-    prop_assert!(position <= world.log.len());
-    let expected = naive(&world.log[..position]);
+    prop_assert!(position <= simulation.log.len());
+    let expected = replay(&simulation.log[..position]);
     prop_assert_eq!(state.revision(), expected.revision);
     prop_assert_eq!(state.files(), &expected.files);
     let seen: Vec<SmolStr> = state.recent().map(|recent| recent.id.clone()).collect();
@@ -271,40 +276,41 @@
 }
 
 fn run(steps: &[Step]) -> Result<(), test_runner::TestCaseError> {
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     for step in steps {
-        let before: Vec<_> = world
+        let before: Vec<_> = simulation
             .replicas
             .iter()
             .map(|r| r.state().revision())
             .collect();
-        world.step(step);
-        for (index, replica) in world.replicas.iter().enumerate() {
-            check_replica(&world, replica)?;
+        simulation.step(step);
+        for (index, replica) in simulation.replicas.iter().enumerate() {
+            check_replica(&simulation, replica)?;
             let restarted = matches!(step, Step::Restart(r) if *r == index);
             prop_assert!(restarted || replica.state().revision() >= before[index]);
         }
     }
-    world.settle();
-    for replica in &world.replicas {
+    simulation.settle();
+    for replica in &simulation.replicas {
         prop_assert_eq!(replica.read_status(), reader::ReadStatus::AtEnd);
-        prop_assert_eq!(replica.state(), world.replicas[0].state());
-        check_replica(&world, replica)?;
+        prop_assert_eq!(replica.state(), simulation.replicas[0].state());
+        check_replica(&simulation, replica)?;
     }
-    let winners = naive(&world.log).winners;
-    let raced = winners.iter().filter(|(base, _)| **base != u64::MAX - 1);
-    for (_base, accepted) in raced {
+    let accepted_by_base = replay(&simulation.log).accepted_by_base;
+    let conflicts = accepted_by_base
+        .iter()
+        .filter(|(base, _)| **base != u64::MAX - 1);
+    for (_base, accepted) in conflicts {
         prop_assert_eq!(accepted.len(), 1);
     }
     Ok(())
 }
 
-// Records are delivered twice, out of order, late and not at all; replicas restart
-// and take states from each other; operators race. What a user would see if this
-// went wrong: a zone that is out here and in service there, or an older folder that
-// comes back.
+// Records are duplicated, reordered, delayed and lost; replicas restart and adopt each
+// other's states; operators make conflicting changes. A failure would show as a zone that is
+// out of service on one process and in service on another, or as a restored older folder.
 #[test]
-fn replicas_equal_the_naive_replay_at_every_step() {
+fn replicas_match_the_reference_replay_at_every_step() {
     let mut runner = fixtures::fixed_runner(256);
     let steps = proptest::collection::vec(any_step(), 1..60);
 
--- a/tests/unit/settings/state.rs
+++ b/tests/unit/settings/state.rs
@@ -1,4 +1,4 @@
-//! The state machine, one record at a time.
+//! The settings state machine, one record at a time.
 
 use std::sync;
 
@@ -15,7 +15,7 @@
 const QUEUE_800: &str = "[limits]\nmax_queued = 800\n";
 const QUEUE_0: &str = "[limits]\nmax_queued = 0\n";
 
-/// Applies documents from offset 0 on and gives the verdicts' codes.
+/// Applies documents from the state's position on and returns the codes of the verdicts.
 fn run(state: &mut settings::State, documents: &[serde_json::Value]) -> Vec<Option<codes::Code>> {
     let verdicts = (state.position()..)
         .zip(documents)
@@ -23,7 +23,7 @@
     verdicts.collect()
 }
 
-/// The code of a verdict on a change; nothing for one that has none.
+/// Returns the code of a verdict, if it has one.
 fn code(verdict: &settings::Verdict) -> Option<codes::Code> {
     match verdict {
         settings::Verdict::Accepted { .. } => Some(codes::Code::Complete),
@@ -47,20 +47,23 @@
     fixtures::change_document(fixtures::change(id, None, None))
 }
 
-// Two operators look at the same revision and change the same key. Both appends
-// succeed. Without the base, the slower would silently undo the faster one's change,
-// and each would have been told that his own is in force.
+// Two operators change the same key based on the same revision, and both appends succeed.
+// Without a base revision, the second change would silently undo the first, and both operators
+// would be informed that their own change is in force.
 #[rstest]
 #[case::before_any(&[], record::BEFORE_FIRST)]
 #[case::on_a_revision(&[put("earlier", QUEUE_900, None)], 0)]
-fn one_of_two_racing_operators_wins(#[case] before: &[serde_json::Value], #[case] base: u64) {
+fn second_change_on_the_same_base_is_rejected(
+    #[case] before: &[serde_json::Value],
+    #[case] base: u64,
+) {
     let mut state = state_of(before);
-    let race = [
+    let conflict = [
         put("ana", QUEUE_800, Some(base)),
         put("bia", QUEUE_900, Some(base)),
     ];
 
-    let codes = run(&mut state, &race);
+    let codes = run(&mut state, &conflict);
 
     assert_eq!(
         codes,
@@ -73,11 +76,10 @@
     assert_eq!(state.revision(), Some(before.len() as u64));
 }
 
-// An append takes effect and its answer is lost, so the tool appends once more. In
-// between, another operator has changed the file. Applied twice, the first change
-// would come back over the second one.
+// The answer to a successful append is lost, so the tool repeats it. In between, another
+// operator has changed the file. If the repeat were applied, it would undo that change.
 #[test]
-fn repeated_append_does_no_harm() {
+fn repeated_append_has_no_effect() {
     let mut state = settings::State::new();
     let documents = [
         put("ana", QUEUE_900, None),
@@ -99,13 +101,13 @@
 }
 
 #[test]
-fn repeat_tells_the_verdict_on_the_first() {
+fn repeat_returns_the_verdict_on_the_first_append() {
     let mut state = state_of(&[put("ana", QUEUE_0, None)]);
 
     let verdict = state.apply_json(1, &put("ana", QUEUE_0, None));
 
     let settings::Verdict::Repeated { first } = verdict else {
-        panic!("not a repeat: {verdict:?}");
+        panic!("expected a repeat, got {verdict:?}");
     };
     assert_eq!(
         (first.offset, first.code),
@@ -114,21 +116,23 @@
 }
 
 #[test]
-fn bounded_number_of_ids_is_remembered() {
+fn number_of_recent_ids_is_bounded() {
     let mut state = settings::State::new();
-    let most = ranges::MAX_RECENT;
-    let documents: Vec<_> = (0..=most).map(|i| remove(&format!("id{i}"))).collect();
+    let max_recent = ranges::MAX_RECENT;
+    let documents: Vec<_> = (0..=max_recent)
+        .map(|i| remove(&format!("id{i}")))
+        .collect();
     run(&mut state, &documents);
 
     let codes = run(&mut state, &[remove("id1"), remove("id0")]);
 
-    assert_eq!(state.recent().len(), most);
-    let forgotten = Some(codes::Code::SettingsNoFile);
-    assert_eq!(codes, [Some(codes::Code::SettingsRepeated), forgotten]);
+    assert_eq!(state.recent().len(), max_recent);
+    let expired = Some(codes::Code::SettingsNoFile);
+    assert_eq!(codes, [Some(codes::Code::SettingsRepeated), expired]);
 }
 
 #[test]
-fn refused_change_leaves_what_was_in_force() {
+fn rejected_change_keeps_the_settings_in_force() {
     let mut state = state_of(&[put("ana", QUEUE_900, None)]);
     let before = sync::Arc::clone(state.settings());
 
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn removal_counts() {
+fn removing_a_file_removes_its_settings() {
     let mut state = state_of(&[put("ana", QUEUE_900, None)]);
 
     let codes = run(&mut state, &[remove("bia"), remove("caio")]);
@@ -155,9 +159,8 @@
     assert_eq!(**state.settings(), settings::Settings::default());
 }
 
-// A release speaks a format that this one does not know, or something else writes to
-// the stream. If readers differed in what they make of it, or stopped at it, the
-// processes would part, each with other settings.
+// A later release or another program writes records in an unknown format to the stream. If
+// readers treated them differently or stopped at them, the settings of processes would diverge.
 #[rstest]
 #[case::no_object(json!(7))]
 #[case::no_type(json!({"version": 1}))]
@@ -177,7 +180,7 @@
 #[case::checkpoint_ahead(json!({
     "type": "checkpoint", "version": 1, "position": 1, "revision": null, "files": {}, "recent": []
 }))]
-fn unreadable_record_is_rejected_and_passed(#[case] document: serde_json::Value) {
+fn malformed_record_is_rejected_and_skipped(#[case] document: serde_json::Value) {
     let mut state = settings::State::new();
 
     let codes = run(&mut state, &[document, put("bia", QUEUE_800, None)]);
@@ -193,7 +196,7 @@
 }
 
 #[test]
-fn unknown_fields_are_passed_over() {
+fn unknown_fields_are_ignored() {
     let mut state = settings::State::new();
     let mut document = put("ana", QUEUE_900, None);
     document["later"] = json!("field");
@@ -204,23 +207,22 @@
 }
 
 #[test]
-fn records_out_of_turn_change_nothing() {
+fn records_out_of_order_have_no_effect() {
     let mut state = state_of(&[put("ana", QUEUE_900, None), put("bia", QUEUE_800, None)]);
     let before = state.clone();
 
-    let past = state.apply_json(0, &put("ana", QUEUE_900, None));
+    let old = state.apply_json(0, &put("ana", QUEUE_900, None));
     let ahead = state.apply_json(3, &put("caio", QUEUE_900, None));
 
-    assert_eq!(past, settings::Verdict::Ignored);
+    assert_eq!(old, settings::Verdict::Ignored);
     assert_eq!(ahead, settings::Verdict::Gap { position: 2 });
     assert_eq!(state, before);
 }
 
-// An entry that was cut off offers its state to one that starts, or to one that is
-// further on. Whoever took an older one over would put a zone back into service that
-// operators have taken out.
+// An entry that was partitioned offers its older state to an entry that is ahead. Adopting it
+// would put a zone back into service that operators have taken out.
 #[test]
-fn older_state_is_never_taken_over() {
+fn older_state_is_not_adopted() {
     let older = state_of(&[put("ana", QUEUE_900, None)]);
     let mut newer = state_of(&[put("ana", QUEUE_900, None), put("bia", QUEUE_800, None)]);
     let before = newer.clone();
@@ -232,7 +234,7 @@
 }
 
 #[test]
-fn newer_state_is_taken_over_whole() {
+fn newer_state_is_adopted_completely() {
     let mut older = state_of(&[put("ana", QUEUE_900, None)]);
     let newer = state_of(&[put("ana", QUEUE_900, None), put("bia", QUEUE_800, None)]);
 
@@ -252,8 +254,8 @@
 #[case::bad_folder(|c: &mut settings::Checkpoint| {
     c.files.insert("99.toml".into(), QUEUE_0.to_owned());
 }, "Folder")]
-fn impossible_checkpoint_is_refused(
-    #[case] spoil: fn(&mut settings::Checkpoint),
+fn invalid_checkpoint_is_rejected(
+    #[case] corrupt: fn(&mut settings::Checkpoint),
     #[case] error: &str,
 ) {
     let documents = [
@@ -265,11 +267,11 @@
     let mut state = state_of(&documents[..2]);
     let before = state.clone();
     let mut checkpoint = state_of(&documents).checkpoint("entry-1");
-    spoil(&mut checkpoint);
+    corrupt(&mut checkpoint);
 
     let result = state.adopt(&checkpoint);
 
-    let result = result.expect_err("it is impossible");
+    let result = result.expect_err("the checkpoint is invalid");
     assert!(format!("{result:?}").starts_with(error), "{result:?}");
     assert_eq!(state, before);
 }
@@ -287,15 +289,17 @@
 }
 
 #[test]
-fn largest_checkpoint_fits_a_record_of_the_log() {
+fn largest_checkpoint_fits_in_a_log_record() {
     const RECORD_BYTES: usize = 1 << 20;
     let state = settings::State::new();
     let mut checkpoint = state.checkpoint(&"a".repeat(ranges::MAX_AUTHOR_BYTES));
     let escaped = "#\"\"".repeat(ranges::MAX_FILE_BYTES / 3);
-    let room =
+    let file_count =
         ranges::MAX_FOLDER_BYTES / serde_json::to_string(&escaped).map_or(1, |t| t.len() + 10);
     let name = |i| smol_str::format_smolstr!("{i}.toml");
-    checkpoint.files = (0..room).map(|i| (name(i), escaped.clone())).collect();
+    checkpoint.files = (0..file_count)
+        .map(|i| (name(i), escaped.clone()))
+        .collect();
     checkpoint.recent = vec![
         record::Recent {
             id: "i".repeat(64).into(),
--- a/tests/unit/wire.rs
+++ b/tests/unit/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between the processes, whole and damaged.
+//! Messages between processes, valid and corrupted.
 
 use bulrushtiller::ids;
 use bulrushtiller::wire;
@@ -19,20 +19,20 @@
     }
 }
 
-fn heartbeat(figures: [u64; 4], busy: u32, leaving: bool) -> wire::Heartbeat {
+fn heartbeat(numbers: [u64; 4], busy: u32, leaving: bool) -> wire::Heartbeat {
     wire::Heartbeat {
         version: wire::VERSION,
         sender: peer(),
         leaving,
-        revision: Some(figures[0]),
+        revision: Some(numbers[0]),
         evidence: wire::Evidence {
-            log_age_ms: Some(figures[1]),
+            log_age_ms: Some(numbers[1]),
             foreign_age_ms: None,
         },
         load: Some(wire::Load {
             busy,
-            epoch: figures[2],
-            sequence: figures[3],
+            epoch: numbers[2],
+            sequence: numbers[3],
             ..wire::Load::default()
         }),
         slots: 0,
@@ -41,29 +41,29 @@
     }
 }
 
-fn dispatch(figures: [u64; 4], payload: String) -> wire::Dispatch {
+fn dispatch(numbers: [u64; 4], payload: String) -> wire::Dispatch {
     wire::Dispatch {
         version: wire::VERSION,
         attempt: ids::Attempt {
-            owner: ids::Incarnation(figures[0]),
-            number: figures[1],
+            owner: ids::Incarnation(numbers[0]),
+            number: numbers[1],
         },
-        incarnation: ids::Incarnation(figures[0]),
-        epoch: figures[1],
+        incarnation: ids::Incarnation(numbers[0]),
+        epoch: numbers[1],
         entry: "entry-1".into(),
         team: "escola".into(),
         kind: "fit".into(),
         payload,
         resources: wire::Resources::default(),
-        wait_ms: figures[2],
-        limit_ms: figures[3],
-        slack_ms: figures[3],
+        wait_ms: numbers[2],
+        limit_ms: numbers[3],
+        slack_ms: numbers[3],
         submission: "x".into(),
         index: 0,
     }
 }
 
-/// A message with a field of a later release.
+/// A message with an additional field, as a later release may send.
 #[derive(Serialize)]
 struct Later<M> {
     #[serde(flatten)]
@@ -71,7 +71,7 @@
     later: Vec<Option<&'static str>>,
 }
 
-fn is_stable<M: Serialize + de::DeserializeOwned + PartialEq>(bytes: &[u8]) -> bool {
+fn rejects_or_round_trips<M: Serialize + de::DeserializeOwned + PartialEq>(bytes: &[u8]) -> bool {
     let Ok(read) = wire::decode::<M>(bytes) else {
         return true;
     };
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn unknown_field_is_passed_over() {
+fn unknown_field_is_ignored() {
     let message = heartbeat([1, 2, 3, 4], 5, false);
     let later = Later {
         message: message.clone(),
@@ -93,8 +93,8 @@
     assert_eq!(read, message);
 }
 
-/// A heartbeat and its answer as the release before wrote and read them.
-mod earlier {
+/// A heartbeat and its reply as encoded and decoded by the previous release.
+mod previous {
     use bulrushtiller::wire;
 
     #[derive(Debug)]
@@ -135,9 +135,9 @@
     }
 }
 
-/// An idle process leaves out all that can be left out.
+/// An idle process omits every optional field.
 #[test]
-fn earlier_release_reads_what_is_left_out() {
+fn previous_release_decodes_messages_with_omitted_fields() {
     let mut message = heartbeat([1, 2, 3, 4], 0, false);
     message.load = None;
     message.evidence = wire::Evidence::default();
@@ -156,22 +156,24 @@
 
     let message = wire::encode(&message).expect("a message");
     let reply = wire::encode(&reply).expect("a message");
-    let message: earlier::Heartbeat = wire::decode(&message).expect("an earlier message");
-    let reply: earlier::HeartbeatReply = wire::decode(&reply).expect("an earlier message");
+    let message: previous::Heartbeat =
+        wire::decode(&message).expect("a message of the previous release");
+    let reply: previous::HeartbeatReply =
+        wire::decode(&reply).expect("a message of the previous release");
 
     assert_eq!((message.slots, message.tickets), (0, 0));
     assert!(message.load.is_none() && message.evidence.log_age_ms.is_none());
     assert_eq!(reply.entries, [peer()]);
 }
 
-/// A process of the release before says nothing of a list that it holds, and gives all.
+/// The previous release does not cache entry lists, so it always sends the whole list.
 #[test]
-fn earlier_release_is_read() {
-    let evidence = || earlier::Evidence {
+fn messages_of_the_previous_release_are_decoded() {
+    let evidence = || previous::Evidence {
         log_age_ms: None,
         foreign_age_ms: Some(5),
     };
-    let message = earlier::Heartbeat {
+    let message = previous::Heartbeat {
         version: wire::VERSION,
         sender: peer(),
         leaving: false,
@@ -181,7 +183,7 @@
         slots: 0,
         tickets: 0,
     };
-    let reply = earlier::HeartbeatReply {
+    let reply = previous::HeartbeatReply {
         version: wire::VERSION,
         sender: peer(),
         leaving: false,
@@ -192,8 +194,8 @@
         tickets: None,
     };
 
-    let message = wire::encode(&message).expect("an earlier message");
-    let reply = wire::encode(&reply).expect("an earlier message");
+    let message = wire::encode(&message).expect("a message of the previous release");
+    let reply = wire::encode(&reply).expect("a message of the previous release");
     let message: wire::Heartbeat = wire::decode(&message).expect("a message");
     let reply: wire::HeartbeatReply = wire::decode(&reply).expect("a message");
 
@@ -202,10 +204,10 @@
     assert_eq!((reply.entries_digest, reply.entries), (None, vec![peer()]));
 }
 
-/// Two releases side by side: the later one's message may be another in all but its
-/// version, and is told apart from garbage.
+/// While two releases run side by side, a message of the later version may differ in everything
+/// but its version field, and must be reported as such rather than as garbage.
 #[test]
-fn later_version_is_told_apart_from_garbage() {
+fn later_version_is_distinguished_from_garbage() {
     let later = wire::encode(&serde_json::json!({"version": 2, "new": true})).expect("a message");
 
     let of_later = wire::decode::<wire::Heartbeat>(&later);
@@ -219,8 +221,8 @@
     #![proptest_config(fixed::cases(500))]
 
     #[test]
-    fn heartbeat_is_read_back(figures: [u64; 4], busy: u32, leaving: bool) {
-        let message = heartbeat(figures, busy, leaving);
+    fn heartbeat_round_trips(numbers: [u64; 4], busy: u32, leaving: bool) {
+        let message = heartbeat(numbers, busy, leaving);
 
         let read = wire::decode(&wire::encode(&message).expect("a message"));
 
@@ -228,50 +230,50 @@
     }
 
     #[test]
-    fn dispatch_is_read_back(figures: [u64; 4], payload: String) {
-        let message = dispatch(figures, payload);
+    fn dispatch_round_trips(numbers: [u64; 4], payload: String) {
+        let message = dispatch(numbers, payload);
 
         let read = wire::decode(&wire::encode(&message).expect("a message"));
 
         prop_assert_eq!(read.ok(), Some(message));
     }
 
-    /// Damage on the way is refused, or gives a message that is one.
+    /// A corrupted message is rejected, or decodes to a message that round-trips.
     #[test]
-    fn damaged_message_is_refused_or_whole(
-        figures: [u64; 4],
+    fn corrupted_message_is_rejected_or_round_trips(
+        numbers: [u64; 4],
         payload: String,
         at: prop::sample::Index,
         byte: u8,
         cut: prop::sample::Index,
     ) {
-        let mut bytes = wire::encode(&dispatch(figures, payload)).expect("a message");
-        let place = at.index(bytes.len());
-        bytes[place] = byte;
+        let mut bytes = wire::encode(&dispatch(numbers, payload)).expect("a message");
+        let damaged_index = at.index(bytes.len());
+        bytes[damaged_index] = byte;
         bytes.truncate(cut.index(bytes.len()) + 1);
 
         let verdicts = [
-            is_stable::<wire::Dispatch>(&bytes),
-            is_stable::<wire::DispatchReply>(&bytes),
-            is_stable::<wire::Heartbeat>(&bytes),
-            is_stable::<wire::HeartbeatReply>(&bytes),
-            is_stable::<wire::Fence>(&bytes),
-            is_stable::<wire::FenceReply>(&bytes),
-            is_stable::<wire::Forward>(&bytes),
-            is_stable::<wire::SettingsReply>(&bytes),
+            rejects_or_round_trips::<wire::Dispatch>(&bytes),
+            rejects_or_round_trips::<wire::DispatchReply>(&bytes),
+            rejects_or_round_trips::<wire::Heartbeat>(&bytes),
+            rejects_or_round_trips::<wire::HeartbeatReply>(&bytes),
+            rejects_or_round_trips::<wire::Fence>(&bytes),
+            rejects_or_round_trips::<wire::FenceReply>(&bytes),
+            rejects_or_round_trips::<wire::Forward>(&bytes),
+            rejects_or_round_trips::<wire::SettingsReply>(&bytes),
         ];
 
         prop_assert_eq!(verdicts, [true; 8]);
     }
 
     #[test]
-    fn noise_is_no_message(bytes: Vec<u8>) {
+    fn random_bytes_are_rejected_or_round_trip(bytes: Vec<u8>) {
         let verdicts = [
-            is_stable::<wire::Dispatch>(&bytes),
-            is_stable::<wire::Heartbeat>(&bytes),
-            is_stable::<wire::Fence>(&bytes),
-            is_stable::<wire::Forward>(&bytes),
-            is_stable::<wire::SettingsQuery>(&bytes),
+            rejects_or_round_trips::<wire::Dispatch>(&bytes),
+            rejects_or_round_trips::<wire::Heartbeat>(&bytes),
+            rejects_or_round_trips::<wire::Fence>(&bytes),
+            rejects_or_round_trips::<wire::Forward>(&bytes),
+            rejects_or_round_trips::<wire::SettingsQuery>(&bytes),
         ];
 
         prop_assert_eq!(verdicts, [true; 5]);
