--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -88,10 +88,10 @@
 ";
 
 /// Interval at which a stopping daemon checks whether it is drained.
-const DRAIN_POLL: time::Duration = time::Duration::from_millis(50);
+const DRAIN_POLL_INTERVAL: time::Duration = time::Duration::from_millis(50);
 
 /// Maximum wait for connections to close once everything is answered, in seconds.
-const CLOSE_SECONDS: u64 = 2;
+const CLOSE_TIMEOUT_SECONDS: u64 = 2;
 
 /// Maximum wait for the head of a request.
 const HEAD_TIMEOUT: time::Duration = time::Duration::from_secs(10);
@@ -125,7 +125,7 @@
     signals: Signals,
 }
 
-/// Open work is finished and no new work is accepted.
+/// Open work is being completed; no new work is accepted.
 struct Draining {
     servers: Vec<dev::ServerHandle>,
     shutdown: ShutdownHandles,
@@ -172,7 +172,7 @@
         let peer_listener = net::TcpListener::bind(self.cfg.peer_listen)?;
         let peer_address = peer_listener.local_addr()?;
         let me = self.me(self.cfg.advertise.unwrap_or(peer_address));
-        log::info!(event = "daemon.start", name = me.name.as_str(), incarnation:% = me.incarnation; "starting; opening ports");
+        log::info!(event = "daemon.start", name = me.name.as_str(), incarnation:% = me.incarnation; "daemon starting");
         let pool = sync::Arc::new(outgoing::Pool::start(self.cfg.threads));
         let opened = match &self.cfg.role {
             config::RoleConfig::Entry { listen } => {
@@ -421,7 +421,7 @@
         .disable_signals()
         .client_request_timeout(bounds.head)
         .keep_alive(bounds.idle)
-        .shutdown_timeout(CLOSE_SECONDS);
+        .shutdown_timeout(CLOSE_TIMEOUT_SECONDS);
     if bounds.detects_hangups {
         server = server.on_connect(hangup::Hangup::attach);
     }
@@ -489,7 +489,7 @@
             while !is_drained.send(control::IsDrained).await.unwrap_or(true)
                 || !self.open_requests.is_idle()
             {
-                tokio::time::sleep(DRAIN_POLL).await;
+                tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
             }
         };
         let ended: SmolStr = tokio::select! {
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -6,17 +6,17 @@
 
 use smol_str::SmolStr;
 
-use super::checked::Limits;
-use super::checked::Policy;
-use super::checked::Settings;
-use super::checked::Team;
-use super::checked::Timeouts;
-use super::checked::Zone;
 use super::fields;
 use super::merge;
 use super::problem;
 use super::ranges;
 use super::relations;
+use super::values::Limits;
+use super::values::Policy;
+use super::values::Settings;
+use super::values::Team;
+use super::values::Timeouts;
+use super::values::Zone;
 use crate::codes;
 use crate::ids;
 
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -4,7 +4,6 @@
 //! them in the same way.
 
 pub mod check;
-pub mod checked;
 pub mod diff;
 mod fields;
 pub mod merge;
@@ -14,14 +13,9 @@
 pub mod record;
 mod relations;
 pub mod state;
+pub mod values;
 
 pub use check::check_folder;
-pub use checked::Limits;
-pub use checked::Policy;
-pub use checked::Settings;
-pub use checked::Team;
-pub use checked::Timeouts;
-pub use checked::Zone;
 pub use problem::Problem;
 pub use reader::Batch;
 pub use reader::Reader;
@@ -30,3 +24,9 @@
 pub use record::Record;
 pub use state::State;
 pub use state::Verdict;
+pub use values::Limits;
+pub use values::Policy;
+pub use values::Settings;
+pub use values::Team;
+pub use values::Timeouts;
+pub use values::Zone;
--- a/src/settings/relations.rs
+++ b/src/settings/relations.rs
@@ -4,10 +4,10 @@
 
 use smol_str::SmolStr;
 
-use super::checked::Settings;
 use super::fields;
 use super::merge;
 use super::ranges;
+use super::values::Settings;
 
 /// SHA-256 hash of the empty token, which must not grant access.
 const EMPTY_TOKEN_SHA256: &str = "e3b0c44298fc1c149afbf4c8996fb92427ae41e4649b934ca495991b7852b855";
--- a/src/settings/state.rs
+++ b/src/settings/state.rs
@@ -11,12 +11,12 @@
 use smol_str::SmolStr;
 
 use super::check;
-use super::checked::Settings;
 use super::diff;
 use super::merge;
 use super::problem;
 use super::ranges;
 use super::record;
+use super::values::Settings;
 use crate::codes;
 use crate::ids;
 
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns whether every resource is available within `available`.
+    /// Returns whether each resource is at most that of `available`.
     pub const fn fits_in(&self, available: &Self) -> bool {
         self.cpu_milli <= available.cpu_milli
             && self.memory_mib <= available.memory_mib
--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -20,7 +20,7 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 
-use crate::fixed;
+use crate::fixed_seed;
 
 const TEAM: SmolStr = SmolStr::new_static("escola");
 const ANSWER_MS: u32 = 10_000;
@@ -297,7 +297,7 @@
 // Submissions end, are fetched and are left alone in any order, with suspensions in between.
 #[test]
 fn answers_keep_outputs_for_retention_time_and_then_shrink() {
-    let mut runner = test_runner::TestRunner::new(fixed::cases(500));
+    let mut runner = test_runner::TestRunner::new(fixed_seed::cases(500));
     let steps = collection::vec(any_step(), 1..80);
 
     let result = runner.run(&steps, |steps| check_retention(&steps));
--- a/tests/unit/api.rs
+++ b/tests/unit/api.rs
@@ -5,7 +5,7 @@
 use bulrushtiller::incoming;
 use proptest::prelude::*;
 
-use crate::fixed;
+use crate::fixed_seed;
 
 fn task() -> impl Strategy<Value = api::Task> {
     let texts = ("[a-z]{0,8}", ".{0,40}");
@@ -77,7 +77,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed::cases(500))]
+    #![proptest_config(fixed_seed::cases(500))]
 
     #[test]
     fn encoded_submission_decodes_to_the_original(submission in submission()) {
--- a/tests/unit/due.rs
+++ b/tests/unit/due.rs
@@ -13,7 +13,7 @@
 use proptest::test_runner;
 use smol_str::SmolStr;
 
-use crate::fixed;
+use crate::fixed_seed;
 
 const SETTLE_MS: u64 = 200;
 const KINDS: [&str; 3] = ["fit", "trace", "copy"];
@@ -195,7 +195,7 @@
 #[test]
 fn due_submissions_equal_a_scan_of_all_submissions() {
     let steps = collection::vec(any_step(), 1..120);
-    let mut runner = test_runner::TestRunner::new(fixed::cases(400));
+    let mut runner = test_runner::TestRunner::new(fixed_seed::cases(400));
 
     let result = runner.run(&steps, |steps| {
         let mut tester = Tester::new();
--- a/tests/unit/entry_list.rs
+++ b/tests/unit/entry_list.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner;
 use smol_str::SmolStr;
 
-use crate::fixed;
+use crate::fixed_seed;
 
 const ADDRESS: SmolStr = SmolStr::new_static("10.0.0.1:1");
 
@@ -145,7 +145,7 @@
 // ended.
 #[test]
 fn restored_replies_contain_the_full_list() {
-    let mut runner = test_runner::TestRunner::new(fixed::cases(1_000));
+    let mut runner = test_runner::TestRunner::new(fixed_seed::cases(1_000));
     let steps = collection::vec(any_step(), 1..60);
 
     let result = runner.run(&steps, run);
--- a/tests/unit/ids.rs
+++ b/tests/unit/ids.rs
@@ -5,7 +5,7 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 
-use crate::fixed;
+use crate::fixed_seed;
 
 #[rstest]
 #[case("t:entry-1:661aec498d38f134:1:2")]
@@ -42,7 +42,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed::cases(2_000))]
+    #![proptest_config(fixed_seed::cases(2_000))]
 
     /// Ids are compared as texts, so every ticket must have exactly one text form.
     #[test]
--- a/tests/unit/main.rs
+++ b/tests/unit/main.rs
@@ -1,4 +1,4 @@
-//! Unit tests of modules that need no network.
+//! Unit tests of the library's modules.
 
 mod admission;
 mod answer_retention;
@@ -12,7 +12,7 @@
 mod entry;
 mod entry_list;
 mod epoch_window;
-mod fixed;
+mod fixed_seed;
 mod freshness;
 mod hangup;
 mod health;
@@ -22,9 +22,9 @@
 mod learning;
 mod leased;
 mod leaving_runners;
+mod log_events;
 mod membership;
 mod metrics;
-mod operations;
 mod order;
 mod placement;
 mod queue;
--- a/tests/unit/settings.rs
+++ b/tests/unit/settings.rs
@@ -1,9 +1,9 @@
 //! Settings: merging, validation, the state machine over the log, and the log reader.
 
 mod check;
+mod documentation;
 pub(crate) mod fixtures;
 mod merge;
-mod pages;
 mod reader;
 mod replicas;
 mod state;
--- a/tests/unit/wire.rs
+++ b/tests/unit/wire.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use serde::de;
 
-use crate::fixed;
+use crate::fixed_seed;
 
 fn peer() -> wire::Peer {
     wire::Peer {
@@ -218,7 +218,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed::cases(500))]
+    #![proptest_config(fixed_seed::cases(500))]
 
     #[test]
     fn heartbeat_round_trips(numbers: [u64; 4], busy: u32, leaving: bool) {
