--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,9 @@
-//! Settings that operators write: a folder of TOML files, merged in the order of
-//! their names, published as records on the log, checked the same way everywhere.
+//! Operator settings: a folder of TOML files, merged in the order of their names.
+//!
+//! Changes are published as records on the log; every process validates and applies
+//! them in the same way.
 
 pub mod check;
-pub mod checked;
 pub mod diff;
 mod fields;
 pub mod merge;
@@ -12,14 +13,9 @@
 pub mod record;
 mod relations;
 pub mod state;
+pub mod values;
 
 pub use check::check_folder;
-pub use checked::Limits;
-pub use checked::Policy;
-pub use checked::Settings;
-pub use checked::Team;
-pub use checked::Timeouts;
-pub use checked::Zone;
 pub use problem::Problem;
 pub use reader::Batch;
 pub use reader::Reader;
@@ -28,3 +24,9 @@
 pub use record::Record;
 pub use state::State;
 pub use state::Verdict;
+pub use values::Limits;
+pub use values::Policy;
+pub use values::Settings;
+pub use values::Team;
+pub use values::Timeouts;
+pub use values::Zone;
