--- a/src/bin/bulrushtiller.rs
+++ b/src/bin/bulrushtiller.rs
@@ -1,4 +1,4 @@
-//! The operators' and callers' tool.
+//! Command-line tool for operators and callers.
 
 use std::env;
 use std::process;
--- a/src/bin/bulrushtillerd.rs
+++ b/src/bin/bulrushtillerd.rs
@@ -1,4 +1,4 @@
-//! The daemon: an entry, or the runner beside a backend server.
+//! Daemon that runs as an entry or as the runner beside a backend server.
 
 use std::process;
 
@@ -16,10 +16,10 @@
         println!("bulrushtillerd {}", env!("CARGO_PKG_VERSION"));
         return process::ExitCode::SUCCESS;
     }
-    let ended = config::RawConfig::from_args(args)
+    let result = config::RawConfig::from_args(args)
         .map_err(daemon::DaemonError::from)
         .and_then(daemon::run);
-    match ended {
+    match result {
         Ok(()) => process::ExitCode::SUCCESS,
         Err(daemon::DaemonError::Config(e)) => {
             eprintln!("bulrushtillerd: {e}");
--- a/src/cli/config.rs
+++ b/src/cli/config.rs
@@ -1,6 +1,6 @@
-//! Where the tool finds the entries and the log, and whom it speaks for.
+//! Configuration of the tool: addresses of the entries and the log, and the team's token.
 //!
-//! Flags go first, then the environment, then the TOML file given by `--config`.
+//! Flags take precedence over the environment, and that over the TOML file of `--config`.
 
 use std::env;
 use std::fs;
@@ -22,7 +22,7 @@
 /// Environment variable with the address of the log service.
 pub const LOG_VAR: &str = "BULRUSHTILLER_LOG";
 
-/// The tool's own settings, checked.
+/// Validated configuration of the tool.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Config {
     entries: Vec<SmolStr>,
@@ -30,22 +30,22 @@
     log: Option<SmolStr>,
 }
 
-/// The settings as one source gives them.
+/// Configuration as given by one source, not validated.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawConfig {
-    /// Entries, each `HOST:PORT`.
+    /// Addresses of entries, each `HOST:PORT`.
     #[serde(default)]
     pub entries: Vec<SmolStr>,
-    /// The team's bearer token.
+    /// Bearer token of the team.
     pub token: Option<SmolStr>,
-    /// The log service, `HOST:PORT`.
+    /// Address of the log service, `HOST:PORT`.
     pub log: Option<SmolStr>,
 }
 
 impl RawConfig {
-    /// What the flags say.
+    /// Reads the flags.
     fn from_flags(args: &mut pico_args::Arguments) -> cli::CliResult<Self> {
         let lists: Vec<String> = args.values_from_str("--entries")?;
         Ok(Self {
@@ -55,7 +55,7 @@
         })
     }
 
-    /// What the environment says.
+    /// Reads the environment; empty variables count as unset.
     fn from_env() -> Self {
         let var = |name| env::var(name).ok().filter(|value| !value.is_empty());
         Self {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// What the file says.
+    /// Reads the file.
     fn from_file(path: &path::Path) -> cli::CliResult<Self> {
         let shown = path.display();
         let text =
@@ -73,7 +73,7 @@
         toml::from_str(&text).map_err(|err| cli::CliError::Usage(format!("{shown}: {err}")))
     }
 
-    /// Fills what is missing here from a source of lower rank.
+    /// Fills in missing values from a source of lower precedence.
     fn or(self, other: Self) -> Self {
         Self {
             entries: if self.entries.is_empty() {
@@ -95,7 +95,7 @@
             flags::check_address(address)?;
         }
         if raw.token.as_ref().is_some_and(|token| !is_token(token)) {
-            let text = "a token has no blanks and nothing but visible ASCII";
+            let text = "a token consists of visible ASCII characters without spaces";
             return Err(cli::CliError::Usage(text.to_owned()));
         }
         Ok(Self {
@@ -107,8 +107,8 @@
 }
 
 impl Config {
-    /// Takes the common flags and reads the other sources.
-    pub fn take(args: &mut pico_args::Arguments) -> cli::CliResult<Self> {
+    /// Takes the common flags from the command line and reads the other sources.
+    pub fn from_args(args: &mut pico_args::Arguments) -> cli::CliResult<Self> {
         let path: Option<path::PathBuf> = flags::value(args, "--config")?;
         let given = RawConfig::from_flags(args)?.or(RawConfig::from_env());
         let file = match path {
@@ -118,7 +118,7 @@
         Self::try_from(given.or(file))
     }
 
-    /// The entries; at least one.
+    /// Returns the addresses of the entries; fails if there are none.
     pub fn entries(&self) -> cli::CliResult<&[SmolStr]> {
         if self.entries.is_empty() {
             return Err(missing("an entry", "--entries", ENTRIES_VAR));
@@ -126,13 +126,13 @@
         Ok(&self.entries)
     }
 
-    /// The team's bearer token.
+    /// Returns the bearer token of the team; fails if there is none.
     pub fn token(&self) -> cli::CliResult<&SmolStr> {
         let token = self.token.as_ref();
         token.ok_or_else(|| missing("a token", "--token", TOKEN_VAR))
     }
 
-    /// A client of the entries, with the team's token; within a running system only.
+    /// Creates a client of the entries with the team's token; needs a running actix system.
     pub fn open_entries(&self) -> cli::CliResult<entries::Entries> {
         let token = self.token()?;
         let addresses = self.entries()?;
@@ -143,13 +143,13 @@
         ))
     }
 
-    /// The address of the log service.
+    /// Returns the address of the log service; fails if there is none.
     pub fn log(&self) -> cli::CliResult<&SmolStr> {
         let log = self.log.as_ref();
         log.ok_or_else(|| missing("the log's address", "--log", LOG_VAR))
     }
 
-    /// Where the settings in force can be read; one place at least.
+    /// Returns the sources of the settings in force; fails if there are none.
     pub fn sources(&self) -> cli::CliResult<follow::Sources<'_>> {
         if self.log.is_none() && self.entries.is_empty() {
             return Err(missing(
@@ -164,8 +164,8 @@
         })
     }
 
-    /// The entries, where the command can do without.
-    pub fn known_entries(&self) -> &[SmolStr] {
+    /// Returns the addresses of the entries, for commands that also work without any.
+    pub fn entries_or_empty(&self) -> &[SmolStr] {
         &self.entries
     }
 }
@@ -184,6 +184,6 @@
 
 fn missing(what: &str, flag: &str, var: &str) -> cli::CliError {
     cli::CliError::Usage(format!(
-        "{what} is needed: {flag}, {var} or the --config file"
+        "{what} is required: set {flag}, {var} or the --config file"
     ))
 }
--- a/src/cli/error.rs
+++ b/src/cli/error.rs
@@ -1,4 +1,4 @@
-//! The tool's one error, and how it ends the process.
+//! Error type of the subcommands and its exit status.
 
 use std::io;
 
@@ -9,73 +9,73 @@
 use crate::codes;
 use crate::ids;
 
-/// What a subcommand gives back.
+/// Result of a subcommand.
 pub type CliResult<T> = Result<T, CliError>;
 
 quick_error! {
-    /// Why a subcommand did not end well.
+    /// Reason why a subcommand failed.
     #[derive(Debug)]
     pub enum CliError {
-        /// The command line or the tool's own settings are wrong.
+        /// The command line or the configuration of the tool is invalid.
         Usage(text: String) {
             from()
             from(err: pico_args::Error) -> (err.to_string())
             from(err: ids::IdError) -> (err.to_string())
             display("{text}")
         }
-        /// A file or a pipe failed.
+        /// Reading or writing a file or a pipe failed.
         Io(what: String, err: io::Error) {
             display("{what}: {err}")
             source(err)
         }
-        /// An entry or the log could not be called.
+        /// A call to a daemon or the log failed.
         Client(err: client::ClientError) {
             from()
             display("{err}")
             source(err)
         }
-        /// A numbered result, in words.
+        /// A result code with details, to be printed.
         Failed(code: codes::Code, text: SmolStr) {
             display("{text}")
         }
-        /// A numbered result that has been printed already.
-        Ended(code: codes::Code) {
+        /// A result code whose details have already been printed.
+        Reported(code: codes::Code) {
             display("{code}")
         }
     }
 }
 
 impl CliError {
-    /// A numbered result with details.
+    /// Creates an error from a result code and details.
     pub fn failed(code: codes::Code, text: impl AsRef<str>) -> Self {
         Self::Failed(code, SmolStr::new(text))
     }
 
-    /// The numbered result, for the exit status and for scripts.
+    /// Returns the result code, which decides the exit status.
     pub fn code(&self) -> codes::Code {
         match self {
             Self::Usage(_) => codes::Code::Usage,
             Self::Io(..) => codes::Code::Io,
             Self::Client(err) => err.code(),
-            Self::Failed(code, _) | Self::Ended(code) => *code,
+            Self::Failed(code, _) | Self::Reported(code) => *code,
         }
     }
 
-    /// Whether the reader of the output went away, as `| head` does.
+    /// Whether the reader closed the output pipe, as `| head` does.
     pub fn is_broken_pipe(&self) -> bool {
         matches!(self, Self::Io(_, err) if err.kind() == io::ErrorKind::BrokenPipe)
     }
 
-    /// Whether there is something left to be said about it.
+    /// Whether the details have already been printed.
     pub const fn is_printed(&self) -> bool {
-        matches!(self, Self::Ended(_))
+        matches!(self, Self::Reported(_))
     }
 }
 
-/// Tells the user about an error and gives the exit status.
+/// Prints an error to standard error and returns the exit status.
 ///
-/// A reader of the output that went away, as `| head` does, has what it wanted:
-/// that ends quietly.
+/// A reader that closes the output pipe, as `| head` does, has read all it needs; the tool
+/// then ends with status 0 and prints nothing.
 pub fn report(err: &CliError) -> i32 {
     if err.is_broken_pipe() {
         return 0;
--- a/src/cli/flags.rs
+++ b/src/cli/flags.rs
@@ -1,4 +1,4 @@
-//! Reading the flags that commands share.
+//! Parsing of command-line arguments.
 
 use std::env;
 use std::ffi;
@@ -11,7 +11,7 @@
 use crate::cli;
 use crate::settings::ranges;
 
-/// The options that every command understands.
+/// Usage text of the options that every command accepts.
 pub const COMMON: &str = "
 Common options:
     --entries A,B   Entries to call, each HOST:PORT (BULRUSHTILLER_ENTRIES)
@@ -20,16 +20,14 @@
     --config FILE   TOML file with entries, token and log
     -h, --help      Show this text
 
-Flags go before the environment, and that before the file.
+Flags take precedence over the environment, and that over the file.
 ";
 
-/// Longest time that a flag can give: a day.
+/// Longest time that a flag accepts: a day.
 pub const MAX_TIME: time::Duration = time::Duration::from_secs(86_400);
 
-/// Starts to read a command line; shows the usage when it is asked for.
-///
-/// Gives `None` when nothing is left to be done.
-pub fn start(
+/// Returns the arguments of a command, or `None` after printing the usage for `--help`.
+pub fn arguments_or_help(
     argv: Vec<ffi::OsString>,
     usage: &str,
 ) -> cli::CliResult<Option<pico_args::Arguments>> {
@@ -41,26 +39,26 @@
     Ok(Some(args))
 }
 
-/// Takes what is left as free arguments; an option among it is unknown.
-pub fn free(args: pico_args::Arguments) -> cli::CliResult<Vec<String>> {
-    args.finish().into_iter().map(free_one).collect()
+/// Returns the remaining arguments as positional ones; fails if an option is among them.
+pub fn positionals(args: pico_args::Arguments) -> cli::CliResult<Vec<String>> {
+    args.finish().into_iter().map(positional_text).collect()
 }
 
-fn free_one(arg: ffi::OsString) -> cli::CliResult<String> {
+fn positional_text(arg: ffi::OsString) -> cli::CliResult<String> {
     let text = arg
         .into_string()
-        .map_err(|bad| cli::CliError::Usage(format!("{} is not UTF-8", bad.display())))?;
+        .map_err(|invalid| cli::CliError::Usage(format!("{} is not UTF-8", invalid.display())))?;
     if text.len() > 1 && text.starts_with('-') {
         return Err(cli::CliError::Usage(format!(
-            "option {text} is unknown, repeated or does not go with the others"
+            "option {text} is unknown, repeated or cannot be combined with the others"
         )));
     }
     Ok(text)
 }
 
-/// Ends the command line: there must be nothing left.
+/// Checks that no arguments remain.
 pub fn finish(args: pico_args::Arguments) -> cli::CliResult<()> {
-    match free(args)?.first() {
+    match positionals(args)?.first() {
         Some(text) => Err(cli::CliError::Usage(format!(
             "unexpected argument '{text}'"
         ))),
@@ -68,18 +66,18 @@
     }
 }
 
-/// Ends the command line with exactly one free argument.
-pub fn one(args: pico_args::Arguments, what: &str) -> cli::CliResult<String> {
-    let mut free = free(args)?;
-    match (free.pop(), free.is_empty()) {
+/// Returns the only remaining argument; fails unless there is exactly one.
+pub fn single_positional(args: pico_args::Arguments, what: &str) -> cli::CliResult<String> {
+    let mut positionals = positionals(args)?;
+    match (positionals.pop(), positionals.is_empty()) {
         (Some(text), true) => Ok(text),
         _ => Err(cli::CliError::Usage(format!(
-            "exactly one {what} is needed"
+            "exactly one {what} is required"
         ))),
     }
 }
 
-/// Takes an option's value; the message names the option where it can't be read.
+/// Takes the value of an option; an error about an invalid value names the option.
 pub fn value<T>(args: &mut pico_args::Arguments, key: &'static str) -> cli::CliResult<Option<T>>
 where
     T: str::FromStr,
@@ -93,7 +91,7 @@
     }
 }
 
-/// Takes a time in milliseconds, up to [`MAX_TIME`].
+/// Takes an option with a time in milliseconds, up to [`MAX_TIME`].
 pub fn millis(
     args: &mut pico_args::Arguments,
     key: &'static str,
@@ -101,35 +99,37 @@
     let ms: Option<u64> = value(args, key)?;
     let time = ms.map(time::Duration::from_millis);
     if time.is_some_and(|time| time > MAX_TIME) {
-        let most = MAX_TIME.as_millis();
-        return Err(cli::CliError::Usage(format!("{key} is at most {most}")));
+        let max = MAX_TIME.as_millis();
+        return Err(cli::CliError::Usage(format!("{key} is at most {max}")));
     }
     Ok(time)
 }
 
-/// Takes `--author`, or else the name of the user who is logged in.
+/// Takes `--author`, or else the user name in `USER`.
 pub fn author(args: &mut pico_args::Arguments) -> cli::CliResult<SmolStr> {
-    let given: Option<SmolStr> = value(args, "--author")?;
+    let author_flag: Option<SmolStr> = value(args, "--author")?;
     let user = || env::var("USER").ok().map(SmolStr::from);
-    let author = given.or_else(user).unwrap_or_default();
-    let good = author.len() <= ranges::MAX_AUTHOR_BYTES && !author.chars().any(char::is_control);
-    if author.is_empty() || !good {
-        let most = ranges::MAX_AUTHOR_BYTES;
-        let text = format!("an author of 1 to {most} bytes is needed: --author or USER");
+    let author = author_flag.or_else(user).unwrap_or_default();
+    let is_valid =
+        author.len() <= ranges::MAX_AUTHOR_BYTES && !author.chars().any(char::is_control);
+    if author.is_empty() || !is_valid {
+        let max = ranges::MAX_AUTHOR_BYTES;
+        let text = format!("an author of 1 to {max} bytes is required: set --author or USER");
         return Err(cli::CliError::Usage(text));
     }
     Ok(author)
 }
 
-/// Checks `HOST:PORT`.
+/// Checks that an address has the form `HOST:PORT`.
 pub fn check_address(address: &str) -> cli::CliResult<()> {
-    let good_host = |host: &str| {
-        let allowed = |b: u8| b.is_ascii_alphanumeric() || b".-_[]:".contains(&b);
-        !host.is_empty() && host.bytes().all(allowed)
+    let is_valid_host = |host: &str| {
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b".-_[]:".contains(&b);
+        !host.is_empty() && host.bytes().all(is_allowed)
     };
     let parts = address.rsplit_once(':');
-    let good = parts.is_some_and(|(host, port)| good_host(host) && port.parse::<u16>().is_ok());
-    if !good {
+    let is_valid =
+        parts.is_some_and(|(host, port)| is_valid_host(host) && port.parse::<u16>().is_ok());
+    if !is_valid {
         return Err(cli::CliError::Usage(format!(
             "'{address}' is not HOST:PORT"
         )));
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! What every subcommand of the tool shares: errors, flags, settings, output.
+//! Infrastructure of the subcommands: errors, flags, configuration, output.
 
 pub mod config;
 pub mod error;
--- a/src/cli/out.rs
+++ b/src/cli/out.rs
@@ -1,4 +1,4 @@
-//! Output for people and for scripts.
+//! Output as text, tables and JSON.
 
 use std::fmt;
 use std::io;
@@ -8,7 +8,7 @@
 
 use crate::cli;
 
-/// Writes a text to standard output.
+/// Writes a text to standard output and flushes it.
 pub fn print(text: &str) -> cli::CliResult<()> {
     let mut out = io::stdout().lock();
     let written = out.write_all(text.as_bytes()).and_then(|()| out.flush());
@@ -20,33 +20,33 @@
     print(&format!("{text}\n"))
 }
 
-/// Writes a value as indented JSON.
+/// Writes a value to standard output as indented JSON.
 pub fn json<T: Serialize>(value: &T) -> cli::CliResult<()> {
     line(render(serde_json::to_string_pretty(value))?)
 }
 
-/// Writes a value as one line of JSON.
+/// Writes a value to standard output as one line of JSON.
 pub fn json_line<T: Serialize>(value: &T) -> cli::CliResult<()> {
     line(render(serde_json::to_string(value))?)
 }
 
-/// Tells the user something that is no part of the output; a failure to do so is no error.
+/// Writes a message to standard error; a failed write is ignored.
 pub fn note(text: impl fmt::Display) {
-    let _lost = writeln!(io::stderr(), "bulrushtiller: {text}");
+    let _ignored = writeln!(io::stderr(), "bulrushtiller: {text}");
 }
 
 fn render(result: serde_json::Result<String>) -> cli::CliResult<String> {
     result.map_err(|err| cli::CliError::Io("output".to_owned(), err.into()))
 }
 
-/// A table with columns as wide as their widest cell.
+/// Text table whose columns are as wide as their widest cell.
 #[derive(Clone, Debug)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with nothing but its heading.
+    /// Creates a table with a heading and no rows.
     pub fn new(heading: &[&str]) -> Self {
         let cells = heading.iter().map(|&cell| cell.to_owned());
         Self {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds a row of as many cells as the heading has.
+    /// Adds a row, which has as many cells as the heading.
     pub fn row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
@@ -82,7 +82,7 @@
     }
 }
 
-/// A cell for a value that may not be known.
+/// Formats an optional value as a cell; `-` stands for `None`.
 pub fn cell<T: fmt::Display>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
--- a/src/client/follow.rs
+++ b/src/client/follow.rs
@@ -1,4 +1,4 @@
-//! The settings in force, read from the log or, when it is down, from an entry.
+//! Reads the settings in force from the log or, when it is down, from a daemon.
 
 use std::time;
 
@@ -14,22 +14,23 @@
 use crate::settings::record;
 use crate::wire;
 
-/// Longest time for an entry to send its whole state.
+/// Timeout of a call for the whole state of an entry.
 const STATE_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// The reader's clock: it serves the writing of checkpoints only, and the tool writes none.
+/// Time passed to the reader, which needs it only to schedule checkpoints; the tool writes
+/// none.
 const NO_CLOCK_MS: u64 = 0;
 
-/// Where settings can be read.
+/// Addresses from which the settings can be read.
 #[derive(Clone, Copy, Debug)]
 pub struct Sources<'a> {
-    /// The address of the log service.
+    /// Address of the log service.
     pub log: Option<&'a SmolStr>,
-    /// Entries, each `HOST:PORT`.
+    /// Addresses of entries, each `HOST:PORT`.
     pub entries: &'a [SmolStr],
 }
 
-/// A reader of the settings' stream that is past its end.
+/// Reader of the settings stream that has reached the end of the log once.
 #[derive(Clone, Debug)]
 pub struct Follower {
     log: log::Log,
@@ -37,10 +38,10 @@
 }
 
 impl Follower {
-    /// Reads the stream to its end, and gives the records that had their turn.
+    /// Reads the stream to its end, and returns the follower and the applied records.
     ///
-    /// Where old records have expired without a checkpoint, an entry's state takes
-    /// their place.
+    /// If old records have expired and no checkpoint covers them, adopts the state of an
+    /// entry instead.
     pub async fn open(
         http: &http::Http,
         log: &SmolStr,
@@ -52,48 +53,50 @@
         };
         let mut applied = Vec::new();
         loop {
-            applied.extend(follower.next(time::Duration::ZERO).await?);
+            applied.extend(follower.read_next(time::Duration::ZERO).await?);
             match follower.reader.read_status() {
                 reader::ReadStatus::AtEnd => return Ok((follower, applied)),
                 reader::ReadStatus::Behind => {}
-                reader::ReadStatus::MissingRecords => follower.ask_entries(http, entries).await?,
-                reader::ReadStatus::Stale => return Err(follower.log.bad("its end went back")),
+                reader::ReadStatus::MissingRecords => follower.adopt_state(http, entries).await?,
+                reader::ReadStatus::Stale => return Err(follower.log.bad_answer("end moved back")),
             }
         }
     }
 
-    async fn ask_entries(
+    /// Adopts the settings in force at any of the entries or their peers, in place of the
+    /// expired records.
+    async fn adopt_state(
         &mut self,
         http: &http::Http,
         entries: &[SmolStr],
     ) -> Result<(), client::ClientError> {
-        let (state, _why) = state_of_any(http, entries).await;
+        let (state, _reason) = fetch_state_from_any(http, entries).await;
         let checkpoint = state.map(|state| state.checkpoint(""));
         let adopted = checkpoint.is_some_and(|found| self.reader.adopt(&found).is_ok());
         if adopted && self.reader.read_status() == reader::ReadStatus::Behind {
             return Ok(());
         }
-        let why = "old records have expired, and neither a checkpoint nor an entry covers them";
-        Err(self.log.bad(why))
+        let reason = "old records have expired, and neither a checkpoint nor an entry covers them";
+        Err(self.log.bad_answer(reason))
     }
 
-    /// The settings after what was read.
+    /// Returns the settings after the records read so far.
     pub const fn state(&self) -> &settings::State {
         self.reader.state()
     }
 
-    /// The log that is read.
+    /// Returns the stream that is read.
     pub const fn log(&self) -> &log::Log {
         &self.log
     }
 
     /// Whether records expired before they were read.
-    pub fn is_lacking(&self) -> bool {
+    pub fn has_missing_records(&self) -> bool {
         self.reader.read_status() == reader::ReadStatus::MissingRecords
     }
 
-    /// Reads on, waiting up to `wait` for a record.
-    pub async fn next(
+    /// Reads the next page, waiting up to `wait` for a record, and returns the applied records.
+    pub async fn read_next(
         &mut self,
         wait: time::Duration,
     ) -> Result<Vec<reader::Applied>, client::ClientError> {
@@ -102,16 +105,16 @@
     }
 }
 
-/// The change that a record holds, if it can be read and holds one.
-pub fn change_of(applied: &reader::Applied) -> Option<settings::Change> {
+/// Returns the change in a record, or `None` if the record is another kind or invalid.
+pub fn decode_change(applied: &reader::Applied) -> Option<settings::Change> {
     match settings::Record::deserialize(&applied.entry.document) {
         Ok(settings::Record::Change(change)) => Some(change),
         _ => None,
     }
 }
 
-/// The settings in force at one daemon.
-async fn state_of(
+/// Fetches the settings in force at one daemon.
+async fn fetch_state(
     http: &http::Http,
     address: &SmolStr,
 ) -> Result<settings::State, client::ClientError> {
@@ -123,15 +126,15 @@
     let call = http::Call::post(address, wire::SETTINGS_PATH, body, STATE_TIMEOUT);
     let reply = http.call(call).await?;
     if !reply.is_ok() {
-        return Err(reply.bad("no settings here"));
+        return Err(reply.bad_answer("expected the settings"));
     }
     let message: wire::SettingsReply =
-        wire::decode(&reply.body).map_err(|err| reply.bad(&err.to_string()))?;
+        wire::decode(&reply.body).map_err(|err| reply.bad_answer(&err.to_string()))?;
     let mut state = settings::State::new();
     if let Some(found) = message.state {
         state
             .adopt(&found)
-            .map_err(|err| reply.bad(&err.to_string()))?;
+            .map_err(|err| reply.bad_answer(&err.to_string()))?;
     }
     for logged in message.records {
         let Some(text) = &logged.record else {
@@ -139,40 +142,40 @@
             continue;
         };
         let document = serde_json::from_str(text);
-        let document = document.map_err(|err| reply.bad(&err.to_string()))?;
+        let document = document.map_err(|err| reply.bad_answer(&err.to_string()))?;
         state.apply_json(logged.offset, &document);
     }
     Ok(state)
 }
 
-/// The settings in force at the first that answers, of the entries and of the processes
-/// that they name; or else why the first did not.
+/// Fetches the settings in force from the first daemon that answers, trying the entries and
+/// then the processes in their status; without an answer, returns the first error.
 ///
-/// An entry may keep the settings on its port for other processes only.
-async fn state_of_any(
+/// An entry may serve the settings only on its port for other processes.
+async fn fetch_state_from_any(
     http: &http::Http,
     entries: &[SmolStr],
 ) -> (Option<settings::State>, Option<client::ClientError>) {
     let mut failed = None;
     let mut peers = Vec::new();
     for address in entries {
-        match state_of(http, address).await {
+        match fetch_state(http, address).await {
             Ok(state) => return (Some(state), None),
             Err(err) => failed = failed.or(Some(err)),
         }
         let status = survey::status(http, address).await;
-        peers.extend(status.map_or_else(|_silent| Vec::new(), |status| status.peers));
+        peers.extend(status.map_or_else(|_err| Vec::new(), |status| status.peers));
     }
     for peer in &peers {
-        if let Ok(state) = state_of(http, &peer.address).await {
+        if let Ok(state) = fetch_state(http, &peer.address).await {
             return (Some(state), None);
         }
     }
     (None, failed)
 }
 
-/// The settings in force: from the log, or else from the first process that answers.
-pub async fn in_force(
+/// Reads the settings in force from the log, or else from the first daemon that answers.
+pub async fn read_settings(
     http: &http::Http,
     sources: Sources<'_>,
 ) -> Result<settings::State, client::ClientError> {
@@ -183,8 +186,12 @@
             Err(err) => failed = Some(err),
         }
     }
-    let (state, why) = state_of_any(http, sources.entries).await;
-    let nowhere =
-        || client::ClientError::Unreachable("-".into(), "neither a log nor an entry".into());
-    state.ok_or_else(|| failed.or(why).unwrap_or_else(nowhere))
+    let (state, reason) = fetch_state_from_any(http, sources.entries).await;
+    let no_source = || {
+        client::ClientError::Unreachable(
+            "-".into(),
+            "no address of a log or an entry is given".into(),
+        )
+    };
+    state.ok_or_else(|| failed.or(reason).unwrap_or_else(no_source))
 }
--- a/src/client/http.rs
+++ b/src/client/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP call with a limit on its time and on its answer's size.
+//! HTTP calls with limits on the time and on the size of the answer.
 
 use std::time;
 
@@ -14,44 +14,44 @@
 use crate::receiving;
 use crate::wire;
 
-/// Longest wait for a connection.
+/// Timeout of opening a connection.
 const CONNECT_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// How much of an unreadable answer is shown.
+/// Maximum length of the excerpt of an unexpected answer in an error, in characters.
 const SHOWN_CHARS: usize = 200;
 
 quick_error! {
-    /// Why a call gave no usable answer.
+    /// Reason why a call has no usable answer.
     #[derive(Clone, Debug, Eq, PartialEq)]
     pub enum ClientError {
-        /// No connection: the call was never sent.
-        Unreachable(address: SmolStr, why: SmolStr) {
-            display("{address} can't be reached: {why}")
+        /// The connection failed; the call was not sent.
+        Unreachable(address: SmolStr, reason: SmolStr) {
+            display("cannot connect to {address}: {reason}")
         }
-        /// The call was sent, or may have been, and no answer came; it may have taken effect.
-        Lost(address: SmolStr, why: SmolStr) {
-            display("no answer from {address}: {why}")
+        /// The call may have been sent and no answer was received; it may have taken effect.
+        Lost(address: SmolStr, reason: SmolStr) {
+            display("no answer from {address}: {reason}")
         }
-        /// The answer is not what was expected.
+        /// The answer has an unexpected status or body.
         BadAnswer(address: SmolStr, status: u16, text: SmolStr) {
             display("{address} answered HTTP {status}: {text}")
         }
-        /// A numbered refusal.
+        /// The call was refused with a result code.
         Refused(address: SmolStr, code: codes::Code, text: SmolStr) {
             display("{address} refused: {text}")
         }
-        /// The log service is down or takes no more appends now.
-        LogDown(address: SmolStr, why: SmolStr) {
-            display("the log service at {address} is not available: {why}")
+        /// The log service is down or refuses appends for now.
+        LogDown(address: SmolStr, reason: SmolStr) {
+            display("the log service at {address} is not available: {reason}")
         }
     }
 }
 
 impl ClientError {
-    /// The numbered result.
+    /// Returns the result code.
     pub const fn code(&self) -> codes::Code {
         match self {
             Self::Unreachable(..) => codes::Code::Unreachable,
@@ -63,24 +63,24 @@
     }
 }
 
-/// An answer of whatever status.
+/// Answer to a call, with any HTTP status.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// Who answered.
+    /// Address that was called.
     pub address: SmolStr,
-    /// The HTTP status.
+    /// HTTP status.
     pub status: u16,
-    /// The whole body.
+    /// Body.
     pub body: bytes::Bytes,
 }
 
 impl Reply {
-    /// Reads the body as JSON.
+    /// Decodes the body as JSON.
     pub fn json<T: de::DeserializeOwned>(&self) -> Result<T, ClientError> {
-        serde_json::from_slice(&self.body).map_err(|err| self.bad(&err.to_string()))
+        serde_json::from_slice(&self.body).map_err(|err| self.bad_answer(&err.to_string()))
     }
 
-    /// Reads the body as JSON if the status is 200, else as a numbered refusal.
+    /// Decodes the body as JSON if the status is 200, else as a refusal with a result code.
     pub fn expect_json<T: de::DeserializeOwned>(&self) -> Result<T, ClientError> {
         if self.is_ok() {
             return self.json();
@@ -93,15 +93,15 @@
         ))
     }
 
-    /// Reads the body as text.
+    /// Returns the body as text, with invalid UTF-8 replaced.
     pub fn text(&self) -> String {
         String::from_utf8_lossy(&self.body).into_owned()
     }
 
-    /// Says that this is not what was expected.
-    pub fn bad(&self, why: &str) -> ClientError {
+    /// Returns the error for an unexpected answer, with the start of the body.
+    pub fn bad_answer(&self, reason: &str) -> ClientError {
         let shown: String = self.text().chars().take(SHOWN_CHARS).collect();
-        let text = format_smolstr!("{why}: {shown}");
+        let text = format_smolstr!("{reason}: {shown}");
         ClientError::BadAnswer(self.address.clone(), self.status, text)
     }
 
@@ -111,10 +111,10 @@
     }
 }
 
-/// What a call carries.
+/// Body of a call.
 #[derive(Clone, Debug)]
 pub enum Body {
-    /// Nothing.
+    /// No body.
     Empty,
     /// A JSON document.
     Json(Vec<u8>),
@@ -123,12 +123,12 @@
 }
 
 impl Body {
-    /// A JSON document; the types of this crate can always be written.
+    /// Encodes a JSON document; encoding never fails for the types of this crate.
     pub fn json<T: Serialize>(value: &T) -> Self {
         Self::Json(serde_json::to_vec(value).unwrap_or_default())
     }
 
-    /// A message between processes; the types of this crate can always be written.
+    /// Encodes a message between processes; encoding never fails for the types of this crate.
     pub fn message<T: Serialize>(value: &T) -> Self {
         Self::MessagePack(wire::encode(value).unwrap_or_default())
     }
@@ -142,25 +142,25 @@
     }
 }
 
-/// One call.
+/// One HTTP call.
 #[derive(Clone, Debug)]
 pub struct Call<'a> {
-    /// The HTTP method.
+    /// HTTP method.
     pub method: awc_http::Method,
-    /// `HOST:PORT`.
+    /// Address to call, `HOST:PORT`.
     pub address: &'a str,
     /// Path and query.
     pub path: &'a str,
     /// Bearer token.
     pub token: Option<&'a str>,
-    /// What is sent.
+    /// Body to send.
     pub body: Body,
-    /// Longest time until an answer begins, and from each part of it to the next.
+    /// Longest time until the head of the answer, and between two chunks of its body.
     pub timeout: time::Duration,
 }
 
 impl<'a> Call<'a> {
-    /// A plain read.
+    /// Creates a `GET` call without a token.
     pub const fn get(address: &'a str, path: &'a str, timeout: time::Duration) -> Self {
         Self {
             method: awc_http::Method::GET,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// A call with a body.
+    /// Creates a `POST` call without a token.
     pub const fn post(
         address: &'a str,
         path: &'a str,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Connections to all the processes that are called.
+/// HTTP client with a pool of connections to all called processes.
 #[derive(Clone)]
 pub struct Http {
     client: awc::Client,
@@ -203,11 +203,11 @@
 }
 
 impl Http {
-    /// Needs a running actix system.
+    /// Creates a client; needs a running actix system.
     ///
-    /// The number of connections is not bounded here, since the library's bound is one
-    /// for all processes: a silent one would keep the calls to the others waiting. Each
-    /// command bounds its own calls.
+    /// The pool has no limit, since the limit of the library spans all processes: calls to
+    /// one that does not answer would block the calls to the others. Each command limits
+    /// its own calls.
     pub fn open() -> Self {
         let connector = awc::Connector::new().timeout(CONNECT_TIMEOUT).limit(0);
         let builder = awc::Client::builder().connector(connector);
@@ -216,14 +216,14 @@
         }
     }
 
-    /// Calls once.
+    /// Makes one call, without retries.
     ///
-    /// A connection that has gone silent ends as [`ClientError::Lost`]; its connection
-    /// is closed then and the next call opens a fresh one. A long answer is read for as
-    /// long as it keeps coming.
+    /// A call without an answer in time fails with [`ClientError::Lost`], and its connection
+    /// is closed so that the next call opens a new one. A long answer is read as long as
+    /// its chunks keep arriving in time.
     pub async fn call(&self, call: Call<'_>) -> Result<Reply, ClientError> {
         let address = SmolStr::new(call.address);
-        let lost = |why: String| ClientError::Lost(address.clone(), SmolStr::from(why));
+        let lost = |reason: String| ClientError::Lost(address.clone(), SmolStr::from(reason));
         let timeout = call.timeout;
         let url = format!("http://{}{}", call.address, call.path);
         let mut req = self.client.request(call.method, url);
@@ -235,8 +235,12 @@
             req = req.content_type(content_type);
         }
         let sent = rt_time::timeout(timeout, req.send_body(bytes)).await;
-        let sent =
-            sent.map_err(|_elapsed| lost(format!("nothing within {} ms", timeout.as_millis())))?;
+        let sent = sent.map_err(|_elapsed| {
+            lost(format!(
+                "nothing received within {} ms",
+                timeout.as_millis()
+            ))
+        })?;
         let resp = sent.map_err(|err| send_error(&address, &err))?;
         let status = resp.status().as_u16();
         let limits = receiving::Limits {
@@ -253,13 +257,13 @@
     }
 }
 
-/// Tells calls that were surely never sent from those that may have arrived.
+/// Distinguishes calls that were certainly not sent from those that may have arrived.
 fn send_error(address: &SmolStr, err: &awc::error::SendRequestError) -> ClientError {
     use awc::error::SendRequestError as Kind;
     let address = address.clone();
-    let why = format_smolstr!("{err}");
+    let reason = format_smolstr!("{err}");
     match err {
-        Kind::Url(_) | Kind::Connect(_) => ClientError::Unreachable(address, why),
-        _ => ClientError::Lost(address, why),
+        Kind::Url(_) | Kind::Connect(_) => ClientError::Unreachable(address, reason),
+        _ => ClientError::Lost(address, reason),
     }
 }
--- a/src/client/log.rs
+++ b/src/client/log.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform's log service; `docs/LOG-SERVICE.md` is its page.
+//! Client of the platform's log service, which `docs/LOG-SERVICE.md` describes.
 
 use std::time;
 
@@ -11,13 +11,13 @@
 use crate::client::http;
 use crate::settings::reader;
 
-/// Longest time for one append; several synced writes fit into it.
+/// Timeout of one append; long enough for several synced writes.
 const APPEND_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// How long a read may take beyond the wait that was asked for.
+/// Time that a read may take beyond the requested wait.
 const READ_MARGIN: time::Duration = time::Duration::from_secs(3);
 
-/// Most records that one read asks for.
+/// Maximum number of records in one read.
 const PAGE_RECORDS: u32 = 500;
 
 /// Answer to an append.
@@ -31,21 +31,21 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct Item {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// Its JSON document.
+    /// JSON document.
     pub record: serde_json::Value,
 }
 
-/// What one read gives.
+/// Answer to a read.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize)]
 pub struct Page {
-    /// Oldest offset still kept.
+    /// Oldest offset that the log still keeps.
     pub first: u64,
-    /// Offset that the next append will get.
+    /// Offset of the next append.
     pub next: u64,
-    /// Records at or after the offset asked for, in order.
+    /// Records at or after the requested offset, in order.
     pub records: Vec<Item>,
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// One stream of the log.
+/// Client of one stream of the log.
 #[derive(Clone, Debug)]
 pub struct Log {
     http: http::Http,
@@ -72,7 +72,7 @@
 }
 
 impl Log {
-    /// Speaks to the log service at `address` about one stream.
+    /// Creates a client of `stream` at the log service at `address`.
     pub fn new(http: http::Http, address: &SmolStr, stream: &'static str) -> Self {
         Self {
             http,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Appends once and gives the offset; a failure may have taken effect all the same.
+    /// Appends a record once and returns its offset; a failed append may have taken effect.
     pub async fn append<T: Serialize>(&self, record: &T) -> Result<u64, client::ClientError> {
         let path = format!("/v1/streams/{}/records", self.stream);
         let body = http::Body::json(record);
@@ -105,18 +105,18 @@
         reply.json()
     }
 
-    /// Where the log service is.
+    /// Returns the address of the log service.
     pub const fn address(&self) -> &SmolStr {
         &self.address
     }
 
-    /// Says that the stream is not what was expected.
-    pub fn bad(&self, why: &str) -> client::ClientError {
-        client::ClientError::BadAnswer(self.address.clone(), 200, SmolStr::new(why))
+    /// Returns the error for an unexpected state of the stream.
+    pub fn bad_answer(&self, reason: &str) -> client::ClientError {
+        client::ClientError::BadAnswer(self.address.clone(), 200, SmolStr::new(reason))
     }
 
     async fn call(&self, call: http::Call<'_>) -> Result<http::Reply, client::ClientError> {
-        let down = |why| client::ClientError::LogDown(self.address.clone(), why);
+        let down = |reason| client::ClientError::LogDown(self.address.clone(), reason);
         let reply = self
             .http
             .call(call)
@@ -125,9 +125,9 @@
         if reply.is_ok() {
             return Ok(reply);
         }
-        // A refusal stays one however often it is repeated; an outage does not.
+        // A repeated call is refused again, whereas an outage may end.
         if (400..500).contains(&reply.status) {
-            return Err(reply.bad("refused by the log service"));
+            return Err(reply.bad_answer("refused by the log service"));
         }
         Err(down(format_smolstr!("HTTP {}", reply.status)))
     }
--- a/src/client/mod.rs
+++ b/src/client/mod.rs
@@ -1,12 +1,12 @@
-//! The tool's side of the calls to entries, other daemons and the log service.
+//! Clients of entries, other daemons and the log service.
 
 pub mod entries;
+pub mod exchange;
 pub mod follow;
 pub mod http;
 pub mod log;
 pub mod publish;
 pub mod rollout;
-pub mod settle;
 pub mod survey;
 
 pub use entries::Entries;
--- a/src/client/publish.rs
+++ b/src/client/publish.rs
@@ -1,4 +1,4 @@
-//! Putting a change on the log and learning what became of it.
+//! Publishes a change of the settings on the log and waits for its verdict.
 
 use std::time;
 
@@ -8,67 +8,70 @@
 use smol_str::format_smolstr;
 
 use crate::client;
+use crate::client::exchange;
 use crate::client::follow;
-use crate::client::settle;
 use crate::settings;
 use crate::settings::reader;
 use crate::settings::record;
 
-/// Longest wait of one read for the verdict.
+/// Longest wait of one read of the log for the verdict.
 const READ_WAIT: time::Duration = time::Duration::from_secs(2);
 
-/// What an operator asks for.
+/// Change of one settings file, requested by an operator.
 #[derive(Clone, Debug)]
-pub struct Order {
-    /// Who asks.
+pub struct ChangeRequest {
+    /// Author of the change.
     pub author: SmolStr,
-    /// The id of the change; a repeat under the same id does no harm.
+    /// Id of the change; a repeat with the same id has no effect.
     pub id: SmolStr,
-    /// The file.
+    /// Name of the file.
     pub file: SmolStr,
-    /// Its new text; absent: it is removed.
+    /// New text of the file; `None` removes the file.
     pub text: Option<String>,
-    /// What the change is based on, see [`record::Change::base`].
+    /// Revision that the change is based on, see [`record::Change::base`].
     pub base: Option<u64>,
 }
 
-impl From<Order> for record::Change {
-    fn from(order: Order) -> Self {
+impl From<ChangeRequest> for record::Change {
+    fn from(request: ChangeRequest) -> Self {
         Self {
             version: record::VERSION,
-            id: order.id,
-            author: order.author,
+            id: request.id,
+            author: request.author,
             time_ms: unix_millis(),
-            file: order.file,
-            text: order.text,
-            base: order.base,
+            file: request.file,
+            text: request.text,
+            base: request.base,
         }
     }
 }
 
-/// An id that no other change has.
+/// Returns a new id for a change, random enough to be unique.
 pub fn random_id() -> SmolStr {
     format_smolstr!("{:032x}", rand::rng().random::<u128>())
 }
 
-/// Says beforehand what would become of a change, if no other comes first.
-pub fn rehearse(state: &settings::State, change: &record::Change) -> settings::Verdict {
-    let mut trial = state.clone();
-    trial.apply(trial.position(), &settings::Record::Change(change.clone()))
+/// Returns the verdict that a change would have as the next record, without publishing it.
+pub fn dry_run(state: &settings::State, change: &record::Change) -> settings::Verdict {
+    let mut preview = state.clone();
+    preview.apply(
+        preview.position(),
+        &settings::Record::Change(change.clone()),
+    )
 }
 
-/// Appends a change and reads the log until its verdict is there.
+/// Appends a change and reads the log until its verdict is known.
 ///
-/// An append whose answer is lost may have taken effect. The log is read after every
-/// try, whatever came of it, and the append is repeated under the same id, so that
-/// readers pass a second record by.
+/// An append whose answer is lost may have taken effect. Therefore the log is read after
+/// every attempt, successful or not, and the append is repeated with the same id, so that
+/// readers ignore a second record.
 pub async fn publish(
     follower: &mut follow::Follower,
     change: &record::Change,
     until: time::Instant,
 ) -> Result<settings::Verdict, client::ClientError> {
     let document = settings::Record::Change(change.clone());
-    let mut pauses = settle::pauses();
+    let mut delays = exchange::backoff();
     let mut is_appended = false;
     loop {
         let mut failed = None;
@@ -81,9 +84,9 @@
         } else {
             time::Duration::ZERO
         };
-        match follower.next(wait).await {
+        match follower.read_next(wait).await {
             Ok(applied) => {
-                if let Some(verdict) = verdict_on(change, applied) {
+                if let Some(verdict) = find_verdict(change, applied) {
                     return Ok(verdict);
                 }
             }
@@ -91,33 +94,42 @@
         }
         let is_over = time::Instant::now() >= until;
         match failed {
-            Some(err) if is_over || is_last_word(&err) => return Err(err),
-            Some(_down) => rt_time::sleep(pauses.next().unwrap_or(READ_WAIT)).await,
-            None if follower.is_lacking() => {
-                return Err(follower.log().bad("records expired before they were read"));
+            Some(err) if is_over || is_permanent(&err) => return Err(err),
+            Some(_unavailable) => rt_time::sleep(delays.next().unwrap_or(READ_WAIT)).await,
+            None if follower.has_missing_records() => {
+                return Err(follower
+                    .log()
+                    .bad_answer("records expired before they were read"));
             }
-            None if is_over => return Err(unseen(follower, change)),
+            None if is_over => return Err(verdict_not_seen(follower, change)),
             None => {}
         }
     }
 }
 
-fn unseen(follower: &follow::Follower, change: &record::Change) -> client::ClientError {
-    let why = format_smolstr!(
-        "the change {} is on the log, its verdict was not seen",
+fn verdict_not_seen(follower: &follow::Follower, change: &record::Change) -> client::ClientError {
+    let reason = format_smolstr!(
+        "change {} was appended to the log, but its verdict was not read in time",
         change.id
     );
-    client::ClientError::Lost(follower.log().address().clone(), why)
+    client::ClientError::Lost(follower.log().address().clone(), reason)
 }
 
-const fn is_last_word(err: &client::ClientError) -> bool {
+const fn is_permanent(err: &client::ClientError) -> bool {
     matches!(err, client::ClientError::BadAnswer(..))
 }
 
-fn verdict_on(change: &record::Change, applied: Vec<reader::Applied>) -> Option<settings::Verdict> {
-    let is_it =
-        |one: &reader::Applied| follow::change_of(one).is_some_and(|found| found.id == change.id);
-    applied.into_iter().find(is_it).map(|one| one.verdict)
+fn find_verdict(
+    change: &record::Change,
+    applied: Vec<reader::Applied>,
+) -> Option<settings::Verdict> {
+    let is_same_change = |applied_record: &reader::Applied| {
+        follow::decode_change(applied_record).is_some_and(|found| found.id == change.id)
+    };
+    applied
+        .into_iter()
+        .find(is_same_change)
+        .map(|applied_record| applied_record.verdict)
 }
 
 fn unix_millis() -> u64 {
--- a/src/client/rollout.rs
+++ b/src/client/rollout.rs
@@ -1,4 +1,4 @@
-//! Waiting until a revision is in force at every process.
+//! Waits until a revision of the settings is in force at every process.
 
 use std::time;
 
@@ -8,14 +8,14 @@
 use crate::client::http;
 use crate::client::survey;
 
-/// Pause between two rounds of questions.
-const PAUSE: time::Duration = time::Duration::from_millis(200);
+/// Pause between two surveys of the processes.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Asks until every process that can be found has `revision` or a later one.
+/// Polls until every process that can be found has `revision` or a later one in force.
 ///
-/// Gives those that still have not when the time is over. Nobody at all counts as
-/// the given entries not having it.
-pub async fn missing(
+/// Returns the processes that do not have it at `until`. A given entry that does not
+/// answer counts as one of them.
+pub async fn wait_for_revision(
     http: &http::Http,
     entries: &[SmolStr],
     revision: u64,
@@ -23,10 +23,10 @@
 ) -> Vec<survey::Process> {
     loop {
         let mut processes = survey::survey(http, entries).await;
-        processes.retain(|process| process.revision.is_none_or(|has| has < revision));
+        processes.retain(|process| process.revision.is_none_or(|current| current < revision));
         if processes.is_empty() || time::Instant::now() >= until {
             return processes;
         }
-        rt_time::sleep(PAUSE).await;
+        rt_time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/client/survey.rs
+++ b/src/client/survey.rs
@@ -1,4 +1,4 @@
-//! What the daemons say of themselves and of each other.
+//! Discovers the daemons and their status by querying each and its peers.
 
 use std::collections;
 use std::time;
@@ -12,59 +12,61 @@
 use crate::client;
 use crate::client::http;
 
-/// Longest wait for one daemon's status.
+/// Timeout of a call for the status of a daemon.
 const STATUS_TIMEOUT: time::Duration = time::Duration::from_secs(2);
 
-/// Daemons that are asked at the same time.
-const AT_ONCE: usize = 64;
+/// Maximum number of daemons that are queried at the same time.
+const MAX_CONCURRENT: usize = 64;
 
+/// Role of an entry.
 const ENTRY: &str = "entry";
-/// State of a process that answers for itself.
+/// State of a process that answers.
 const ALIVE: &str = "alive";
-/// State of a process that says it is stopping.
+/// State of a process that reports that it is stopping.
 const LEAVING: &str = "leaving";
 /// State of a process that does not answer.
 const UNREACHABLE: &str = "unreachable";
 
-/// One process, by its own word where it answers, else by that of its peers.
+/// Status of one process, as reported by itself or, if it does not answer, by its peers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Process {
-    /// `entry` or `runner`; empty when nobody knows.
+    /// `entry` or `runner`; empty if unknown.
     pub role: SmolStr,
-    /// Its name; empty when nobody knows.
+    /// Name; empty if unknown.
     pub name: SmolStr,
-    /// Where it was asked.
+    /// Address that was queried.
     pub address: SmolStr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: SmolStr,
-    /// What its peers say (`silent`, `ejected`, `probing`), or `alive`, `leaving`,
-    /// `unreachable`.
+    /// `alive`, `leaving` or `unreachable`, or the state that its peers report (`silent`,
+    /// `ejected` or `probing`).
     pub state: SmolStr,
-    /// Whether it answered for itself.
+    /// Whether the process itself answered.
     pub answered: bool,
-    /// Revision of the settings in force there.
+    /// Revision of the settings in force at the process.
     pub revision: Option<u64>,
-    /// Slots in use.
+    /// Number of slots in use.
     pub busy: Option<u32>,
-    /// Slots in all.
+    /// Number of slots.
     pub slots: Option<u32>,
-    /// Tasks waiting there.
+    /// Number of tasks waiting at the process.
     pub queued: Option<u64>,
-    /// Tasks running there, or handed out by it.
+    /// Number of tasks that a runner runs or that an entry has dispatched.
     pub running: Option<u64>,
-    /// Whether it may start or hand out work now.
+    /// Whether the process may start or dispatch tasks now.
     pub fresh: Option<bool>,
-    /// The entry that decides while slots are scarce, as an entry sees it.
+    /// Entry that decides while slots are scarce, as seen by this entry.
     pub leader: Option<SmolStr>,
-    /// Availability zones that it takes to be out of service.
+    /// Availability zones that are out of service according to the process.
     pub zones_out: Vec<SmolStr>,
-    /// Given addresses without an answer, of which one may be this process's.
+    /// Given addresses that did not answer, one of which may belong to this process.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub perhaps_at: Vec<SmolStr>,
 }
 
 impl Process {
+    /// Creates a process of which only the address is known.
     fn unknown(address: &SmolStr) -> Self {
         Self {
             role: SmolStr::default(),
@@ -85,17 +87,18 @@
         }
     }
 
-    /// Whether it is an address that nobody knows anything about.
+    /// Whether neither the process nor a peer reported anything about this address.
     fn is_unknown(&self) -> bool {
         self.role.is_empty()
     }
 
-    fn is_silent_entry(&self) -> bool {
+    /// Whether it is an entry that did not answer.
+    fn is_unanswered_entry(&self) -> bool {
         self.role == ENTRY && !self.answered
     }
 
-    /// Its name, or its address while the name is not known.
-    pub fn shown_name(&self) -> &SmolStr {
+    /// Returns the name, or the address if the name is unknown.
+    pub fn display_name(&self) -> &SmolStr {
         if self.name.is_empty() {
             &self.address
         } else {
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Takes over what another process says of this one.
-    fn hear(&mut self, peer: &api::PeerStatus) {
+    /// Fills in what a peer reports about this process.
+    fn apply_peer_report(&mut self, peer: &api::PeerStatus) {
         self.busy = self.busy.or(Some(peer.busy));
         self.slots = self.slots.or(Some(peer.slots));
         if self.answered {
@@ -122,8 +125,8 @@
         }
     }
 
-    /// Takes over what this process says of itself.
-    fn answer(&mut self, status: &api::Status) {
+    /// Fills in what this process reports about itself.
+    fn apply_own_status(&mut self, status: &api::Status) {
         self.answered = true;
         self.role = status.role.clone();
         self.name = status.name.clone();
@@ -138,33 +141,36 @@
     }
 }
 
-/// The processes found so far.
+/// Processes discovered so far.
 #[derive(Debug, Default)]
-struct Found {
+struct Discovered {
     processes: collections::BTreeMap<SmolStr, Process>,
-    /// The address by which each life was first found.
-    lives: collections::BTreeMap<SmolStr, SmolStr>,
-    /// Further addresses of processes that were found by another.
+    /// First address under which each incarnation answered.
+    address_by_incarnation: collections::BTreeMap<SmolStr, SmolStr>,
+    /// Other addresses of a process, with its first address.
     aliases: collections::BTreeMap<SmolStr, SmolStr>,
-    told: Vec<api::PeerStatus>,
+    /// All reports about peers.
+    peer_reports: Vec<api::PeerStatus>,
 }
 
-impl Found {
-    /// Notes what came of asking an address.
+impl Discovered {
+    /// Records the answer, or the failure, of a query to an address.
     ///
-    /// An entry has one address for callers and one for other processes; its life
-    /// tells that both are the same process.
-    fn note(&mut self, address: &SmolStr, answer: Option<api::Status>) {
+    /// An entry has one address for callers and one for other processes; the same
+    /// incarnation in both answers identifies them as one process.
+    fn record(&mut self, address: &SmolStr, answer: Option<api::Status>) {
         let mut process = Process::unknown(address);
         if let Some(status) = answer {
-            let first = self.lives.entry(status.incarnation.clone());
+            let first = self
+                .address_by_incarnation
+                .entry(status.incarnation.clone());
             let first = first.or_insert_with(|| address.clone());
             if first != address {
                 self.aliases.insert(address.clone(), first.clone());
                 return;
             }
-            process.answer(&status);
-            self.told.extend(status.peers);
+            process.apply_own_status(&status);
+            self.peer_reports.extend(status.peers);
         }
         self.processes.insert(address.clone(), process);
     }
@@ -173,65 +179,65 @@
         self.processes.contains_key(address) || self.aliases.contains_key(address)
     }
 
-    /// Addresses that were named and not asked yet.
-    fn unasked(&self) -> collections::BTreeSet<SmolStr> {
-        let named = self.told.iter().map(|peer| &peer.address);
-        named
+    /// Returns the reported addresses of peers that were not queried yet.
+    fn not_queried(&self) -> collections::BTreeSet<SmolStr> {
+        let reported = self.peer_reports.iter().map(|peer| &peer.address);
+        reported
             .filter(|address| !self.is_known(address))
             .cloned()
             .collect()
     }
 
-    /// Adds to each process what the others say of it.
+    /// Adds the reports of peers to each process, and returns the processes.
     fn finish(mut self) -> Vec<Process> {
-        for peer in &self.told {
+        for peer in &self.peer_reports {
             let address = self.aliases.get(&peer.address).unwrap_or(&peer.address);
             if let Some(process) = self.processes.get_mut(address) {
-                process.hear(peer);
+                process.apply_peer_report(peer);
             }
         }
-        join_silent_entries(&mut self.processes);
+        merge_unanswered_entries(&mut self.processes);
         sorted(self.processes)
     }
 }
 
-/// Shows an entry once that does not answer.
+/// Merges given addresses that do not answer into the entries that peers report as silent.
 ///
-/// It is given by its address for callers and named by its peers with the one for
-/// processes. Only an answer tells that both are one process; without it there
-/// would be two rows, and an operator would look for an entry that never was.
-fn join_silent_entries(processes: &mut collections::BTreeMap<SmolStr, Process>) {
+/// The operator gives the entry's address for callers, its peers report the one for
+/// processes. Only an answer would show that both belong to one process; listed separately,
+/// they would look like an additional entry, which does not exist.
+fn merge_unanswered_entries(processes: &mut collections::BTreeMap<SmolStr, Process>) {
     let unknown: Vec<_> = processes
         .values()
         .filter(|process| process.is_unknown())
         .map(|process| process.address.clone())
         .collect();
-    let mut silent: Vec<_> = processes
+    let mut unanswered: Vec<_> = processes
         .values_mut()
-        .filter(|process| process.is_silent_entry())
+        .filter(|process| process.is_unanswered_entry())
         .collect();
-    if silent.len() < unknown.len() {
+    if unanswered.len() < unknown.len() {
         return;
     }
-    for process in &mut silent {
+    for process in &mut unanswered {
         process.perhaps_at.clone_from(&unknown);
     }
     processes.retain(|_, process| !process.is_unknown());
 }
 
-/// Asks every given entry and the processes that they name.
+/// Queries the given entries and all processes that are reported as peers.
 ///
-/// Gives the processes by role, zone and name.
+/// Returns the processes sorted by role, zone and name.
 pub async fn survey(http: &http::Http, entries: &[SmolStr]) -> Vec<Process> {
-    let mut found = Found::default();
-    let mut ask: collections::BTreeSet<SmolStr> = entries.iter().cloned().collect();
-    while !ask.is_empty() {
-        for (address, answer) in ask_all(http, &ask).await {
-            found.note(&address, answer);
+    let mut discovered = Discovered::default();
+    let mut pending: collections::BTreeSet<SmolStr> = entries.iter().cloned().collect();
+    while !pending.is_empty() {
+        for (address, answer) in query_all(http, &pending).await {
+            discovered.record(&address, answer);
         }
-        ask = found.unasked();
+        pending = discovered.not_queried();
     }
-    found.finish()
+    discovered.finish()
 }
 
 fn sorted(processes: collections::BTreeMap<SmolStr, Process>) -> Vec<Process> {
@@ -240,19 +246,19 @@
     list
 }
 
-/// Asks many at once, and gives their answers by address.
-async fn ask_all(
+/// Queries several daemons concurrently, and returns their status by address.
+async fn query_all(
     http: &http::Http,
     addresses: &collections::BTreeSet<SmolStr>,
 ) -> collections::BTreeMap<SmolStr, Option<api::Status>> {
-    let asked = stream::iter(addresses).map(|address| async move {
+    let queries = stream::iter(addresses).map(|address| async move {
         let status = status(http, address).await;
         (address.clone(), status.ok())
     });
-    asked.buffer_unordered(AT_ONCE).collect().await
+    queries.buffer_unordered(MAX_CONCURRENT).collect().await
 }
 
-/// Asks one daemon.
+/// Fetches the status of one daemon.
 pub async fn status(
     http: &http::Http,
     address: &SmolStr,
--- a/src/cmd/answer.rs
+++ b/src/cmd/answer.rs
@@ -1,20 +1,21 @@
-//! How answers are shown.
+//! Prints answers to submissions.
 
 use crate::api;
 use crate::cli;
 use crate::codes;
 
-/// Longest output that is shown in a table, in characters.
+/// Maximum length of a task's output in a table, in characters.
 const SHOWN_CHARS: usize = 60;
 
-/// Said of a refusal that is not the last word.
-const UNSURE: &str = "refused for now; an earlier call under this id may have been taken in";
+/// Error text for a refusal that is not final.
+const MAY_BE_ACCEPTED: &str =
+    "refused for now; an earlier call with this id may have been accepted";
 
-/// Prints an answer and ends with its exit status.
+/// Prints an answer and returns the result that gives its exit status.
 ///
-/// A refusal speaks of one call. Under an id of the client's own, an earlier call through
-/// another entry may have been taken in and its answer lost; the exit status of "not run"
-/// would have a script submit anew, and the task would run twice.
+/// A refusal applies to one call only. With an id of the client's own, an earlier call
+/// through another entry may have been accepted and its answer lost. The exit status for
+/// "not run" would then make a script submit again, and the task would run twice.
 pub fn print(answer: &api::Answer, json: bool) -> cli::CliResult<()> {
     if json {
         cli::out::json(answer)?;
@@ -22,20 +23,23 @@
         cli::out::print(&render(answer))?;
     }
     if !answer.is_final && answer.code.class() == codes::Class::NotRun {
-        return Err(cli::CliError::failed(codes::Code::TimedOut, UNSURE));
+        return Err(cli::CliError::failed(
+            codes::Code::TimedOut,
+            MAY_BE_ACCEPTED,
+        ));
     }
-    end(answer.code)
+    exit_result(answer.code)
 }
 
-/// Ends with a code that has been shown.
-pub const fn end(code: codes::Code) -> cli::CliResult<()> {
+/// Returns the result for a code that has already been printed.
+pub const fn exit_result(code: codes::Code) -> cli::CliResult<()> {
     match code.exit_status() {
         0 => Ok(()),
-        _ => Err(cli::CliError::Ended(code)),
+        _ => Err(cli::CliError::Reported(code)),
     }
 }
 
-/// One line about the whole.
+/// Returns a one-line summary of an answer.
 pub fn summary(answer: &api::Answer) -> String {
     let id = cli::out::cell(answer.submission.as_ref());
     let number = answer.code.number();
@@ -53,7 +57,7 @@
     parts.extend(
         answer
             .retry_after_ms
-            .map(|ms| format!("come back in {ms} ms")),
+            .map(|ms| format!("retry after {ms} ms")),
     );
     parts.extend(
         answer
@@ -82,18 +86,18 @@
 fn row(index: usize, task: &api::TaskAnswer) -> Vec<String> {
     vec![
         index.to_string(),
-        fate(task.fate).to_owned(),
+        outcome_name(task.fate).to_owned(),
         task.code.number().to_string(),
         cli::out::cell(task.runner.as_ref()),
         cli::out::cell(task.zone.as_ref()),
         task.run_ms.to_string(),
-        cli::out::cell(task.output.as_deref().map(shorten)),
+        cli::out::cell(task.output.as_deref().map(truncate)),
     ]
 }
 
-/// The fate as it stands in the API.
-const fn fate(fate: api::TaskOutcome) -> &'static str {
-    match fate {
+/// Returns the name of a task outcome in the API.
+const fn outcome_name(outcome: api::TaskOutcome) -> &'static str {
+    match outcome {
         api::TaskOutcome::Pending => "pending",
         api::TaskOutcome::Ran => "ran",
         api::TaskOutcome::Failed => "failed",
@@ -102,12 +106,12 @@
     }
 }
 
-/// Keeps an output on one line; the whole of it is in the JSON.
-fn shorten(output: &str) -> String {
+/// Shortens an output to one line; the JSON output has all of it.
+fn truncate(output: &str) -> String {
     let clean = output.chars().map(|c| if c.is_control() { ' ' } else { c });
-    let mut shown: String = clean.take(SHOWN_CHARS).collect();
+    let mut short: String = clean.take(SHOWN_CHARS).collect();
     if output.chars().count() > SHOWN_CHARS {
-        shown.push_str("...");
+        short.push_str("...");
     }
-    shown
+    short
 }
--- a/src/cmd/audit/mod.rs
+++ b/src/cmd/audit/mod.rs
@@ -1,4 +1,4 @@
-//! `audit`: who changed which settings, when, and what became of it.
+//! `audit`: shows the changes of the settings with their authors and results.
 
 use std::ffi;
 use std::time;
@@ -11,9 +11,9 @@
 use crate::cli;
 use crate::cli::flags;
 use crate::client;
+use crate::client::exchange;
 use crate::client::follow;
 use crate::client::http;
-use crate::client::settle;
 use crate::cmd;
 use crate::cmd::change;
 use crate::settings::reader;
@@ -21,49 +21,49 @@
 mod render;
 
 const USAGE: &str = "
-Shows the changes of settings, oldest first: when, who, which file, at which revision,
-accepted or why not, and what changed.
+Shows the changes of the settings, oldest first: offset on the log (the revision, if
+accepted), time, author, file, result, and the changed keys or the problems.
 
 Usage:
     bulrushtiller audit [options]
 
-Without --daemon they are those that the log still keeps. A daemon's own trail is
-shorter, and tells besides at which process a revision came into force when, and who
-offered an older one. Times are by the clock of whoever made the change.
+Without --daemon, shows all changes that the log still keeps. The audit trail of a daemon
+is shorter, and also shows when a revision came into force at which process, and which
+process offered an older one. Times are by the clock of the author's machine.
 
 Options:
-    --daemon HOST:PORT  Show the trail of this daemon
+    --daemon HOST:PORT  Show the audit trail of this daemon
     --file NAME         Only changes of this file
     --author NAME       Only changes by this author
     --result WORD       Only 'accepted', 'rejected' or 'repeated' changes
-    --from N            Only from this offset of the log, or number of the daemon, on
-    --follow            Go on until interrupted, also through outages
-    --json              Print one JSON object a line
+    --from N            Start at this offset of the log, or event number of the daemon
+    --follow            Wait for new events until interrupted, also during outages
+    --json              Print one JSON object per line
 ";
 
-/// Longest wait of one read of the log while following.
+/// Longest wait of one read of the log with `--follow`.
 const FOLLOW_WAIT: time::Duration = time::Duration::from_secs(5);
 
-/// Pause between two questions to a daemon while following.
-const DAEMON_PAUSE: time::Duration = time::Duration::from_millis(500);
+/// Pause between two calls to a daemon with `--follow`.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Steps after which the pauses of an outage grow no more.
-const MAX_STEPS: usize = 8;
+/// Number of failures after which the back-off delay no longer grows.
+const MAX_BACKOFF_STEPS: usize = 8;
 
-/// Longest time for a daemon to answer.
+/// Timeout of a call to a daemon.
 const DAEMON_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// Which events are wanted.
+/// Selects the events to show.
 #[derive(Clone, Debug, Default)]
 struct Filter {
     file: Option<SmolStr>,
     author: Option<SmolStr>,
-    result: Option<change::Ending>,
+    result: Option<change::ChangeResult>,
 }
 
 impl Filter {
-    fn passes(&self, event: &audit::Event) -> bool {
-        let Some((made, ending)) = change_in(event) else {
+    fn accepts(&self, event: &audit::Event) -> bool {
+        let Some((made, change_result)) = change_and_result(event) else {
             return self.file.is_none() && self.author.is_none() && self.result.is_none();
         };
         let is = |wanted: &Option<SmolStr>, found: &SmolStr| {
@@ -71,16 +71,18 @@
         };
         is(&self.file, &made.file)
             && is(&self.author, &made.author)
-            && self.result.is_none_or(|wanted| wanted == ending)
+            && self.result.is_none_or(|wanted| wanted == change_result)
     }
 }
 
-/// The change that an event is about, and how it ended.
-const fn change_in(event: &audit::Event) -> Option<(&event::ChangeInfo, change::Ending)> {
+/// Returns the change that an event reports and its result, or `None` for another event.
+const fn change_and_result(
+    event: &audit::Event,
+) -> Option<(&event::ChangeInfo, change::ChangeResult)> {
     match event {
-        audit::Event::Accepted { made, .. } => Some((made, change::Ending::Accepted)),
-        audit::Event::Rejected { made, .. } => Some((made, change::Ending::Rejected)),
-        audit::Event::Repeated { made, .. } => Some((made, change::Ending::Repeated)),
+        audit::Event::Accepted { made, .. } => Some((made, change::ChangeResult::Accepted)),
+        audit::Event::Rejected { made, .. } => Some((made, change::ChangeResult::Rejected)),
+        audit::Event::Repeated { made, .. } => Some((made, change::ChangeResult::Repeated)),
         audit::Event::RevertAttempt { .. } | audit::Event::InForce { .. } => None,
     }
 }
@@ -96,7 +98,7 @@
 
 impl Args {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
-        let config = cli::Config::take(&mut args)?;
+        let config = cli::Config::from_args(&mut args)?;
         let daemon: Option<SmolStr> = flags::value(&mut args, "--daemon")?;
         if let Some(address) = &daemon {
             flags::check_address(address)?;
@@ -107,7 +109,7 @@
             author: flags::value(&mut args, "--author")?,
             result: result
                 .as_deref()
-                .map(change::Ending::try_from)
+                .map(change::ChangeResult::try_from)
                 .transpose()?,
         };
         let parsed = Self {
@@ -123,7 +125,7 @@
     }
 
     fn print(&self, event: &audit::Event) -> cli::CliResult<()> {
-        if !self.filter.passes(event) {
+        if !self.filter.accepts(event) {
             return Ok(());
         }
         if self.json {
@@ -135,7 +137,7 @@
 
 /// Runs `audit`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
@@ -148,13 +150,13 @@
 
 async fn from_log(args: &Args, log: &SmolStr) -> cli::CliResult<()> {
     let http = client::Http::open();
-    let entries = args.config.known_entries();
+    let entries = args.config.entries_or_empty();
     let mut outage = Outage::default();
     let (mut follower, applied) = loop {
         match follow::Follower::open(&http, log, entries).await {
             Ok(opened) => break opened,
             Err(err) if !args.follow => return Err(err.into()),
-            Err(err) => outage.wait(err).await?,
+            Err(err) => outage.back_off(err).await?,
         }
     };
     print_records(args, &applied)?;
@@ -163,25 +165,27 @@
     }
     outage = Outage::default();
     loop {
-        match follower.next(FOLLOW_WAIT).await {
-            Ok(applied) if follower.is_lacking() => {
+        match follower.read_next(FOLLOW_WAIT).await {
+            Ok(applied) if follower.has_missing_records() => {
                 print_records(args, &applied)?;
                 return Err(follower
                     .log()
-                    .bad("records expired before they were read")
+                    .bad_answer("records expired before they were read")
                     .into());
             }
             Ok(applied) => {
                 outage = Outage::default();
                 print_records(args, &applied)?;
             }
-            Err(err) => outage.wait(err).await?,
+            Err(err) => outage.back_off(err).await?,
         }
     }
 }
 
 fn print_records(args: &Args, applied: &[reader::Applied]) -> cli::CliResult<()> {
-    let wanted = applied.iter().filter(|one| one.entry.offset >= args.from);
+    let wanted = applied
+        .iter()
+        .filter(|record| record.entry.offset >= args.from);
     let mut events = wanted.filter_map(audit::Event::of_record);
     events.try_for_each(|event| args.print(&event))
 }
@@ -195,7 +199,7 @@
             match daemon_page(&http, address, from).await {
                 Ok(page) => break page,
                 Err(err) if !args.follow => return Err(err.into()),
-                Err(err) => outage.wait(err).await?,
+                Err(err) => outage.back_off(err).await?,
             }
         };
         outage = Outage::default();
@@ -208,7 +212,7 @@
             return Ok(());
         }
         if is_end {
-            rt_time::sleep(DAEMON_PAUSE).await;
+            rt_time::sleep(POLL_INTERVAL).await;
         }
     }
 }
@@ -225,24 +229,25 @@
     reply.expect_json()
 }
 
-/// A time in which the other side does not answer.
+/// Back-off while the log or a daemon does not answer.
 #[derive(Debug, Default)]
 struct Outage {
+    /// Number of failed calls since the last answer.
     failures: usize,
 }
 
 impl Outage {
-    /// Says so once and pauses; an answer that can't be understood is no outage.
-    async fn wait(&mut self, err: client::ClientError) -> cli::CliResult<()> {
+    /// Reports the first failure and waits; fails at once on an unexpected answer.
+    async fn back_off(&mut self, err: client::ClientError) -> cli::CliResult<()> {
         if matches!(err, client::ClientError::BadAnswer(..)) {
             return Err(err.into());
         }
         if self.failures == 0 {
             cli::out::note(&err);
         }
-        let pause = settle::pauses().nth(self.failures.min(MAX_STEPS));
+        let delay = exchange::backoff().nth(self.failures.min(MAX_BACKOFF_STEPS));
         self.failures += 1;
-        rt_time::sleep(pause.unwrap_or(FOLLOW_WAIT)).await;
+        rt_time::sleep(delay.unwrap_or(FOLLOW_WAIT)).await;
         Ok(())
     }
 }
--- a/src/cmd/audit/render.rs
+++ b/src/cmd/audit/render.rs
@@ -1,4 +1,4 @@
-//! Audit events for people.
+//! Formats audit events as text.
 
 use std::time;
 
@@ -9,10 +9,10 @@
 use crate::cli;
 use crate::settings::record;
 
-/// Last millisecond of the year 9999, beyond which no time is shown.
+/// Last millisecond of the year 9999; later times are not shown.
 const MAX_SHOWN_MS: u64 = 253_402_300_799_999;
 
-/// What people read of an event: one line, and one for each key or problem.
+/// Formats an event: one line, and one more for each changed key or problem.
 pub fn text(event: &audit::Event) -> String {
     let mut lines = vec![first_line(event)];
     match event {
@@ -20,13 +20,13 @@
             changed, unlisted, ..
         } => {
             lines.extend(changed.iter().map(|key| format!("    {key}")));
-            lines.extend(more(*unlisted));
+            lines.extend(unlisted_line(*unlisted));
         }
         audit::Event::Rejected {
             problems, unlisted, ..
         } => {
             lines.extend(problems.iter().map(|problem| format!("    {problem}")));
-            lines.extend(more(*unlisted));
+            lines.extend(unlisted_line(*unlisted));
         }
         _ => {}
     }
@@ -51,11 +51,13 @@
             offered,
             in_force,
         } => {
-            let place = cli::out::cell(*offset);
+            let shown_offset = cli::out::cell(*offset);
             let time = show_time(time_ms.unwrap_or(0));
             let offered = record::show_revision(*offered);
             let in_force = record::show_revision(*in_force);
-            format!("{place}  {time}  {offered_by}  offered revision {offered}, {in_force} stays")
+            format!(
+                "{shown_offset}  {time}  {offered_by}  offered revision {offered}, {in_force} stays"
+            )
         }
         audit::Event::InForce {
             process,
@@ -71,18 +73,18 @@
 }
 
 fn describe(made: &event::ChangeInfo) -> String {
-    let shown = |text: &SmolStr| cli::out::cell(Some(text).filter(|text| !text.is_empty()));
+    let show_text = |text: &SmolStr| cli::out::cell(Some(text).filter(|text| !text.is_empty()));
     let action = if made.removed { "remove" } else { "put" };
     let time = show_time(made.time_ms);
-    let (author, file) = (shown(&made.author), shown(&made.file));
+    let (author, file) = (show_text(&made.author), show_text(&made.file));
     format!("{}  {time}  {author}  {action} {file}", made.offset)
 }
 
-fn more(unlisted: usize) -> Option<String> {
+fn unlisted_line(unlisted: usize) -> Option<String> {
     (unlisted > 0).then(|| format!("    and {unlisted} more"))
 }
 
-/// Others' texts without what a terminal would act upon.
+/// Replaces control characters, on which a terminal would act.
 fn printable(text: &str) -> String {
     text.chars()
         .map(|c| if c.is_control() { '?' } else { c })
--- a/src/cmd/cancel.rs
+++ b/src/cmd/cancel.rs
@@ -1,4 +1,4 @@
-//! `cancel`: one submission or many.
+//! `cancel`: cancels submissions.
 
 use std::ffi;
 
@@ -14,20 +14,20 @@
 use crate::ids;
 
 const USAGE: &str = "
-Cancels submissions: what has not started never will, what runs is stopped.
+Cancels submissions: tasks that have not started never will, running ones are stopped.
 
 Usage:
     bulrushtiller cancel ID... [options]
 
-The exit status is 0 when every submission is cancelled or was complete before, else
-that of the first which is neither.
+The exit status is 0 if every submission is cancelled or was already complete, else that
+of the first one that is neither.
 
 Options:
     --json          Print the answers as a JSON array
 ";
 
-/// Submissions that one call cancels.
-const BATCH: usize = 500;
+/// Maximum number of submissions in one call.
+const MAX_IDS_PER_CALL: usize = 500;
 
 struct Args {
     config: cli::Config,
@@ -37,15 +37,15 @@
 
 impl Args {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
-        let config = cli::Config::take(&mut args)?;
+        let config = cli::Config::from_args(&mut args)?;
         let json = args.contains("--json");
-        let free = flags::free(args)?;
-        if free.is_empty() {
+        let positionals = flags::positionals(args)?;
+        if positionals.is_empty() {
             return Err(cli::CliError::Usage(
-                "at least one submission id is needed".to_owned(),
+                "at least one submission id is required".to_owned(),
             ));
         }
-        let ids = free
+        let ids = positionals
             .into_iter()
             .map(|id| ids::SubmissionId::try_from(SmolStr::from(id)));
         Ok(Self {
@@ -58,7 +58,7 @@
 
 /// Runs `cancel`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
@@ -73,8 +73,8 @@
             cli::out::line(answer::summary(answer))?;
         }
     }
-    let bad = answers.iter().find(|answer| !was_cancelled(answer));
-    bad.map_or(Ok(()), |answer| answer::end(answer.code))
+    let not_cancelled = answers.iter().find(|answer| !is_success(answer));
+    not_cancelled.map_or(Ok(()), |answer| answer::exit_result(answer.code))
 }
 
 async fn cancel_all(
@@ -82,22 +82,22 @@
     ids: &[ids::SubmissionId],
 ) -> cli::CliResult<Vec<api::Answer>> {
     let mut answers = Vec::with_capacity(ids.len());
-    for batch in ids.chunks(BATCH) {
+    for batch in ids.chunks(MAX_IDS_PER_CALL) {
         answers.extend(cancel_batch(entries, batch).await?);
     }
     Ok(answers)
 }
 
-/// Tries the entries in turn; cancelling twice does no harm.
+/// Calls the entries in turn until one answers; cancelling is idempotent.
 async fn cancel_batch(
     entries: &entries::Entries,
     ids: &[ids::SubmissionId],
 ) -> cli::CliResult<Vec<api::Answer>> {
     let mut failed = None;
-    for place in 0..entries.len() {
+    for index in 0..entries.len() {
         let result = match ids {
-            [id] => entries.cancel(place, id).await.map(|answer| vec![answer]),
-            many => entries.cancel_many(place, many).await,
+            [id] => entries.cancel(index, id).await.map(|answer| vec![answer]),
+            several => entries.cancel_many(index, several).await,
         };
         match result {
             Ok(answers) => return Ok(answers),
@@ -105,12 +105,12 @@
         }
     }
     Err(failed.map_or_else(
-        || cli::CliError::from("no entry".to_owned()),
+        || cli::CliError::from("no entry is given".to_owned()),
         cli::CliError::from,
     ))
 }
 
-fn was_cancelled(answer: &api::Answer) -> bool {
+fn is_success(answer: &api::Answer) -> bool {
     let cancelled = [codes::Code::Cancelled, codes::Code::CancelledNotRun];
     cancelled.contains(&answer.code) || answer.code.exit_status() == 0
 }
--- a/src/cmd/change/editor.rs
+++ b/src/cmd/change/editor.rs
@@ -1,4 +1,4 @@
-//! One command's changes to the settings: read, rehearse, publish, wait.
+//! Changes the settings for a command: reads, checks, publishes and waits.
 
 use std::time;
 
@@ -7,30 +7,30 @@
 
 use crate::cli;
 use crate::client;
+use crate::client::exchange;
 use crate::client::follow;
 use crate::client::publish;
 use crate::client::rollout;
-use crate::client::settle;
 use crate::cmd::change;
 use crate::cmd::change::report;
 use crate::codes;
 use crate::settings;
 use crate::settings::record;
 
-/// A change to be made: a new text for a file, or its removal.
+/// Change of one file: a new text or its removal.
 #[derive(Clone, Debug)]
 pub struct Edit {
-    /// The change's id.
+    /// Id of the change.
     pub id: SmolStr,
-    /// The file.
+    /// Name of the file.
     pub file: SmolStr,
-    /// Its new text; absent: it is removed.
+    /// New text of the file; `None` removes the file.
     pub text: Option<String>,
-    /// See [`record::Change::base`].
+    /// Revision that the change is based on, see [`record::Change::base`].
     pub base: Option<u64>,
 }
 
-/// Makes one command's changes to the settings.
+/// Makes the changes of one command and collects their results.
 #[derive(Debug)]
 pub struct Editor<'a> {
     options: &'a change::Options,
@@ -40,13 +40,13 @@
 }
 
 impl<'a> Editor<'a> {
-    /// Reads the settings in force; the log must be there, or nothing can be changed.
+    /// Reads the settings in force; fails if the log stays down, since no change is possible.
     pub async fn open(options: &'a change::Options) -> cli::CliResult<Self> {
         if options.wait {
             options.config.entries()?;
         }
         let http = client::Http::open();
-        let entries = options.config.known_entries();
+        let entries = options.config.entries_or_empty();
         let log = options.config.log()?;
         let until = time::Instant::now() + options.limit;
         let follower = open_follower(&http, log, entries, until).await?;
@@ -58,93 +58,95 @@
         })
     }
 
-    /// The settings in force as last read.
+    /// Returns the settings in force as last read.
     pub const fn state(&self) -> &settings::State {
         self.follower.state()
     }
 
-    /// What a change would lead to.
-    pub fn rehearse(&self, edit: &Edit) -> settings::Verdict {
-        publish::rehearse(self.state(), &self.change(edit))
+    /// Returns the verdict that a change would have now, without publishing it.
+    pub fn dry_run(&self, edit: &Edit) -> settings::Verdict {
+        publish::dry_run(self.state(), &self.change(edit))
     }
 
-    /// Makes one change; answers whether it is in force.
+    /// Makes one change and returns whether it was accepted.
     ///
-    /// A change that would be rejected as things stand is not published at all.
+    /// A change that would be rejected now is not published.
     pub async fn apply(&mut self, edit: &Edit) -> cli::CliResult<bool> {
         let change = self.change(edit);
-        let trial = self.rehearse(edit);
-        let report = if matches!(trial, settings::Verdict::Accepted { .. }) {
+        let expected = self.dry_run(edit);
+        let report = if matches!(expected, settings::Verdict::Accepted { .. }) {
             let until = time::Instant::now() + self.options.limit;
             let verdict = publish::publish(&mut self.follower, &change, until).await;
             report::Report::new(
                 &change,
-                verdict.map_err(|err| unsure(&err, &change))?,
+                verdict.map_err(|err| verdict_unknown(&err, &change))?,
                 false,
             )
         } else {
-            report::Report::new(&change, trial, true)
+            report::Report::new(&change, expected, true)
         };
-        let good = report.code == codes::Code::Complete;
+        let is_accepted = report.code == codes::Code::Complete;
         self.outcome.changes.push(report);
-        Ok(good)
+        Ok(is_accepted)
     }
 
     fn change(&self, edit: &Edit) -> record::Change {
-        let order = publish::Order {
+        let request = publish::ChangeRequest {
             author: self.options.author.clone(),
             id: edit.id.clone(),
             file: edit.file.clone(),
             text: edit.text.clone(),
             base: edit.base,
         };
-        order.into()
+        request.into()
     }
 
-    /// Waits for the last revision if that was asked for, and gives everything that was done.
+    /// Waits for the last revision if the options say so, and returns the results.
     ///
-    /// Where nothing was left to change that is the one in force on the log: a script that
-    /// repeats a command which was not in force in time must not take the repeat's silence
-    /// for an end of the wait.
+    /// Without any change, it waits for the revision in force on the log. A script may repeat
+    /// a command whose changes did not come into force everywhere in time, and the repeat must
+    /// not succeed before they do.
     pub async fn finish(mut self) -> cli::CliResult<report::Outcome> {
-        let awaited = if self.outcome.changes.is_empty() {
+        let awaited_revision = if self.outcome.changes.is_empty() {
             self.state().revision()
         } else {
             self.outcome.revision()
         };
-        if let Some(revision) = awaited.filter(|_revision| self.options.wait) {
+        if let Some(revision) = awaited_revision.filter(|_revision| self.options.wait) {
             let entries = self.options.config.entries()?;
             let until = time::Instant::now() + self.options.limit;
-            let missing = rollout::missing(&self.http, entries, revision, until).await;
-            self.outcome.missing = Some(missing);
+            let not_in_force =
+                rollout::wait_for_revision(&self.http, entries, revision, until).await;
+            self.outcome.missing = Some(not_in_force);
         }
         Ok(self.outcome)
     }
 }
 
-/// Reads the log to its end, also after a short outage.
+/// Reads the log to its end, with retries while the log is down.
 async fn open_follower(
     http: &client::Http,
     log: &SmolStr,
     entries: &[SmolStr],
     until: time::Instant,
 ) -> Result<follow::Follower, client::ClientError> {
-    let mut pauses = settle::pauses();
+    let mut delays = exchange::backoff();
     loop {
         match follow::Follower::open(http, log, entries).await {
             Ok((follower, _applied)) => return Ok(follower),
             Err(err @ client::ClientError::LogDown(..)) if time::Instant::now() < until => {
-                let pause = pauses.next().ok_or(err)?;
-                rt_time::sleep(pause).await;
+                let delay = delays.next().ok_or(err)?;
+                rt_time::sleep(delay).await;
             }
             Err(err) => return Err(err),
         }
     }
 }
 
-/// Tells that a change may have been made although its end was not seen.
-fn unsure(err: &client::ClientError, change: &record::Change) -> cli::CliError {
+/// Returns the error for a change that may have been accepted although its verdict is unknown.
+fn verdict_unknown(err: &client::ClientError, change: &record::Change) -> cli::CliError {
     let id = &change.id;
-    let text = format!("{err}; it may have been made: the same change with --id {id} does no harm");
+    let text =
+        format!("{err}; the change may have been accepted: it is safe to repeat it with --id {id}");
     cli::CliError::failed(err.code(), text)
 }
--- a/src/cmd/change/mod.rs
+++ b/src/cmd/change/mod.rs
@@ -1,4 +1,4 @@
-//! What all commands that change settings share.
+//! Options and flow shared by the commands that change settings.
 
 use std::ffi;
 use std::time;
@@ -17,44 +17,44 @@
 
 pub use editor::Edit;
 pub use editor::Editor;
-pub use report::Ending;
+pub use report::ChangeResult;
 pub use report::Outcome;
 
-/// The options that every change understands.
+/// Usage text of the options of every command that changes settings.
 pub const USAGE: &str = "
 Options of every change:
-    --author NAME   Who makes the change (default: USER)
-    --wait          Wait until every process that 'status' finds has it in force
-    --no-wait       Don't
-    --limit-ms N    How long to go on, for the log and for --wait (default 10000 each)
+    --author NAME   Author of the change (default: USER)
+    --wait          Wait until it is in force at every process that 'status' finds
+    --no-wait       Do not wait
+    --limit-ms N    Time limit, for the log and for --wait (default 10000 each)
     --json          Print the outcome as JSON
 ";
 
-/// Default of `--limit-ms`: more than settings may take to be in force everywhere.
-const LIMIT: time::Duration = time::Duration::from_secs(10);
+/// Default of `--limit-ms`; longer than settings may take to come into force everywhere.
+const DEFAULT_LIMIT: time::Duration = time::Duration::from_secs(10);
 
-/// Word for the base of a change that is meant to be the first.
+/// Value of `--base` for a change that must be the first.
 const BASE_NONE: &str = "none";
 
-/// The options that every change understands, parsed.
+/// Options of every command that changes settings.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where the log and the entries are.
+    /// Configuration of the tool.
     pub config: cli::Config,
-    /// Who makes the changes.
+    /// Author of the changes.
     pub author: SmolStr,
     /// Whether to wait until the last change is in force everywhere.
     pub wait: bool,
-    /// How long to go on.
+    /// Time limit for the log, and again for the wait.
     pub limit: time::Duration,
     /// Whether to print JSON.
     pub json: bool,
 }
 
 impl Options {
-    /// Takes the options; `waits` tells whether waiting is the command's default.
-    pub fn take(args: &mut pico_args::Arguments, waits: bool) -> cli::CliResult<Self> {
-        let config = cli::Config::take(args)?;
+    /// Takes the options from the command line; `waits` is the default of `--wait`.
+    pub fn from_args(args: &mut pico_args::Arguments, waits: bool) -> cli::CliResult<Self> {
+        let config = cli::Config::from_args(args)?;
         let author = flags::author(args)?;
         let wait = args.contains("--wait");
         let no_wait = args.contains("--no-wait");
@@ -67,14 +67,14 @@
             config,
             author,
             wait: wait || (waits && !no_wait),
-            limit: flags::millis(args, "--limit-ms")?.unwrap_or(LIMIT),
+            limit: flags::millis(args, "--limit-ms")?.unwrap_or(DEFAULT_LIMIT),
             json: args.contains("--json"),
         })
     }
 }
 
-/// Takes `--base`.
-pub fn take_base(args: &mut pico_args::Arguments) -> cli::CliResult<Option<u64>> {
+/// Takes `--base`, a revision or `none`.
+pub fn parse_base(args: &mut pico_args::Arguments) -> cli::CliResult<Option<u64>> {
     let text: Option<String> = flags::value(args, "--base")?;
     let Some(text) = text else {
         return Ok(None);
@@ -82,52 +82,52 @@
     if text == BASE_NONE {
         return Ok(Some(record::base_of(None)));
     }
-    let wrong = |_bad| {
+    let invalid = |_err| {
         cli::CliError::Usage(format!(
             "--base {text} is neither a revision nor '{BASE_NONE}'"
         ))
     };
-    text.parse().map(Some).map_err(wrong)
+    text.parse().map(Some).map_err(invalid)
 }
 
-/// Takes `--id`, or else makes a new one.
-pub fn take_id(args: &mut pico_args::Arguments) -> cli::CliResult<SmolStr> {
+/// Takes `--id`, or else generates a new id.
+pub fn parse_id(args: &mut pico_args::Arguments) -> cli::CliResult<SmolStr> {
     let id: Option<SmolStr> = flags::value(args, "--id")?;
-    let checked = id.map(|id| ids::check_name(&id)).transpose()?;
-    Ok(checked.unwrap_or_else(publish::random_id))
+    let valid_id = id.map(|id| ids::check_name(&id)).transpose()?;
+    Ok(valid_id.unwrap_or_else(publish::random_id))
 }
 
-/// The command line of a command that makes one change.
+/// Parsed command line of a command that makes one change.
 #[derive(Clone, Debug)]
-pub struct One {
-    /// The options of every change.
+pub struct SingleChange {
+    /// Options of the command.
     pub options: Options,
-    /// The change.
+    /// Change to make.
     pub edit: Edit,
 }
 
-/// Runs a command that makes one change, and waits if that was asked for.
-pub fn run_one(
+/// Runs a command that makes one change, and waits if the options say so.
+pub fn run_single(
     argv: Vec<ffi::OsString>,
     usage: &str,
-    parse: fn(pico_args::Arguments) -> cli::CliResult<One>,
+    parse: fn(pico_args::Arguments) -> cli::CliResult<SingleChange>,
 ) -> cli::CliResult<()> {
     let usage = format!("{usage}{USAGE}");
-    let Some(args) = flags::start(argv, &usage)? else {
+    let Some(args) = flags::arguments_or_help(argv, &usage)? else {
         return Ok(());
     };
-    let One { options, edit } = parse(args)?;
-    let outcome = cmd::block_on(apply_one(&options, &edit))?;
+    let SingleChange { options, edit } = parse(args)?;
+    let outcome = cmd::block_on(apply_single(&options, &edit))?;
     print(&outcome, &options)
 }
 
-async fn apply_one(options: &Options, edit: &Edit) -> cli::CliResult<Outcome> {
+async fn apply_single(options: &Options, edit: &Edit) -> cli::CliResult<Outcome> {
     let mut editor = Editor::open(options).await?;
     editor.apply(edit).await?;
     editor.finish().await
 }
 
-/// Prints what was done and ends with the exit status.
+/// Prints the outcome and returns the result that gives the exit status.
 pub fn print(outcome: &Outcome, options: &Options) -> cli::CliResult<()> {
     report::print(outcome, options.json)
 }
--- a/src/cmd/change/report.rs
+++ b/src/cmd/change/report.rs
@@ -1,4 +1,4 @@
-//! What became of changes, for people and scripts.
+//! Reports the results of changes as text and JSON.
 
 use serde::Serialize;
 use smol_str::SmolStr;
@@ -11,20 +11,20 @@
 use crate::settings::problem;
 use crate::settings::record;
 
-/// How a change ended.
+/// Result of a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ending {
-    /// In force at the log's revision.
+pub enum ChangeResult {
+    /// The change made a new revision of the settings.
     Accepted,
-    /// Refused; what was in force stays.
+    /// The change was rejected; the settings in force stay.
     Rejected,
-    /// The same change had been made before.
+    /// The same change was already made.
     Repeated,
 }
 
-impl TryFrom<&str> for Ending {
+impl TryFrom<&str> for ChangeResult {
     type Error = cli::CliError;
 
     fn try_from(word: &str) -> cli::CliResult<Self> {
@@ -40,36 +40,36 @@
     }
 }
 
-/// What became of one change, for people and scripts.
+/// Result of one change with its details.
 #[derive(Clone, Debug)]
 #[derive(Serialize)]
 pub struct Report {
-    /// The change's id.
+    /// Id of the change.
     pub id: SmolStr,
-    /// The file.
+    /// Name of the file.
     pub file: SmolStr,
-    /// How it ended.
-    pub result: Ending,
-    /// The numbered result.
+    /// Result of the change.
+    pub result: ChangeResult,
+    /// Result code.
     pub code: codes::Code,
-    /// The revision that it made.
+    /// Revision that the change made.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub revision: Option<u64>,
-    /// Whether it was refused before it was put on the log.
+    /// Whether the change was rejected without being published.
     pub before_append: bool,
-    /// The keys that it changed.
+    /// Changed keys.
     pub changed: Vec<diff::KeyChange>,
-    /// Why it was refused.
+    /// Reasons of the rejection.
     pub problems: Vec<problem::Problem>,
 }
 
 impl Report {
-    /// What a verdict says of a change.
+    /// Creates the report for the verdict on a change.
     pub fn new(change: &record::Change, verdict: settings::Verdict, before_append: bool) -> Self {
         let mut report = Self {
             id: change.id.clone(),
             file: change.file.clone(),
-            result: Ending::Accepted,
+            result: ChangeResult::Accepted,
             code: codes::Code::Complete,
             revision: None,
             before_append,
@@ -82,19 +82,19 @@
                 report.changed = changed;
             }
             settings::Verdict::Rejected { code, problems } => {
-                report.result = Ending::Rejected;
+                report.result = ChangeResult::Rejected;
                 report.code = code;
                 report.problems = problems;
             }
             settings::Verdict::Repeated { first } => {
-                report.result = Ending::Repeated;
+                report.result = ChangeResult::Repeated;
                 report.code = first.code;
                 report.revision = (first.code == codes::Code::Complete).then_some(first.offset);
             }
             settings::Verdict::Ignored
             | settings::Verdict::Checkpoint { .. }
             | settings::Verdict::Gap { .. } => {
-                report.result = Ending::Rejected;
+                report.result = ChangeResult::Rejected;
                 report.code = codes::Code::SettingsBadRecord;
             }
         }
@@ -105,14 +105,14 @@
         let file = &self.file;
         let revision = cli::out::cell(self.revision);
         let first = match self.result {
-            Ending::Accepted => format!("{file}: accepted at revision {revision}"),
-            Ending::Repeated => {
-                format!("{file}: made before, revision {revision}: {}", self.code)
+            ChangeResult::Accepted => format!("{file}: accepted at revision {revision}"),
+            ChangeResult::Repeated => {
+                format!("{file}: already made, revision {revision}: {}", self.code)
             }
-            Ending::Rejected if self.before_append => {
+            ChangeResult::Rejected if self.before_append => {
                 format!("{file}: refused before it was published: {}", self.code)
             }
-            Ending::Rejected => format!("{file}: rejected: {}", self.code),
+            ChangeResult::Rejected => format!("{file}: rejected: {}", self.code),
         };
         let changed = self.changed.iter().map(|key| format!("    {key}"));
         let problems = self.problems.iter().map(|problem| format!("    {problem}"));
@@ -120,31 +120,31 @@
     }
 }
 
-/// Everything that a command did.
+/// Results of all changes of a command.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 pub struct Outcome {
-    /// The changes, in the order in which they were made.
+    /// Reports of the changes, in order.
     pub changes: Vec<Report>,
-    /// Processes that did not have the last revision in force in time; absent: nobody waited.
+    /// Processes where the last revision was not in force in time; `None` without a wait.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub missing: Option<Vec<survey::Process>>,
 }
 
 impl Outcome {
-    /// The last revision that was made.
+    /// Returns the last revision that was made.
     pub fn revision(&self) -> Option<u64> {
         self.changes.iter().rev().find_map(|report| report.revision)
     }
 
-    /// The first result that is not good.
+    /// Returns the first code that means a failure.
     fn failure(&self) -> Option<codes::Code> {
         let codes = self.changes.iter().map(|report| report.code);
         codes.into_iter().find(|code| code.exit_status() != 0)
     }
 }
 
-/// Prints what was done and ends with the exit status.
+/// Prints the outcome and returns the result that gives the exit status.
 pub fn print(outcome: &Outcome, json: bool) -> cli::CliResult<()> {
     if json {
         cli::out::json(outcome)?;
@@ -152,7 +152,7 @@
         print_text(outcome)?;
     }
     if let Some(code) = outcome.failure() {
-        return Err(cli::CliError::Ended(code));
+        return Err(cli::CliError::Reported(code));
     }
     let missing = outcome.missing.as_ref().map_or(0, Vec::len);
     if missing > 0 {
@@ -174,7 +174,7 @@
     }
     for process in missing {
         let revision = record::show_revision(process.revision);
-        let name = process.shown_name();
+        let name = process.display_name();
         cli::out::line(format_args!(
             "not in force at {name} ({}): revision {revision}",
             process.state
--- a/src/cmd/config/check.rs
+++ b/src/cmd/config/check.rs
@@ -1,4 +1,4 @@
-//! `config check`: a folder, without calling anyone.
+//! `config check`: checks a settings folder offline.
 
 use std::ffi;
 use std::path;
@@ -12,13 +12,13 @@
 use crate::settings::problem;
 
 const USAGE: &str = "
-Checks a folder of settings the way every process does, without calling anyone.
+Checks a settings folder offline, by the same rules as every process.
 
 Usage:
     bulrushtiller config check FOLDER [options]
 
-Each problem is printed as FILE:LINE: REASON (NUMBER). A file that is at fault is left
-out when the others are checked against each other.
+Each problem is printed as FILE:LINE: REASON (CODE). Files with problems are left out
+when the others are checked against each other.
 
 Options:
     --json          Print {\"ok\": ..., \"files\": N, \"problems\": [...]}
@@ -33,7 +33,7 @@
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
         Ok(Self {
             json: args.contains("--json"),
-            folder: flags::one(args, "folder")?.into(),
+            folder: flags::single_positional(args, "folder")?.into(),
         })
     }
 }
@@ -47,12 +47,12 @@
 
 /// Runs `config check`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
     let folder = cli::folder::read(&args.folder)?;
-    let files = folder.files.len() + folder.unread.len();
+    let files = folder.files.len() + folder.unreadable.len();
     let problems = cmd::config::problems(&folder);
     if args.json {
         let report = Report {
@@ -65,7 +65,7 @@
         print_text(files, &problems)?;
     }
     let code = problems.first().map(|problem| problem.code);
-    code.map_or(Ok(()), answer::end)
+    code.map_or(Ok(()), answer::exit_result)
 }
 
 fn print_text(files: usize, problems: &[problem::Problem]) -> cli::CliResult<()> {
--- a/src/cmd/config/diff.rs
+++ b/src/cmd/config/diff.rs
@@ -1,4 +1,4 @@
-//! `config diff`: a folder against what is in force.
+//! `config diff`: compares a folder with the settings in force.
 
 use std::collections;
 use std::ffi;
@@ -20,15 +20,15 @@
 use crate::settings::record;
 
 const USAGE: &str = "
-Compares a folder with what is in force, by files and by keys.
+Compares a folder with the settings in force, by file and by key.
 
 Usage:
     bulrushtiller config diff FOLDER [options]
 
-What is in force is read from the log or, when that is not available, from an entry.
+The settings in force are read from the log or, if it is not available, from an entry.
 
 Options:
-    --check         End with status 1 (606) unless they are equal
+    --check         Exit with status 1 (606) unless they are equal
     --json          Print {\"equal\": ..., \"revision\": N, \"files\": {...}, \"keys\": [...]}
 ";
 
@@ -42,24 +42,24 @@
 impl Args {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
         Ok(Self {
-            config: cli::Config::take(&mut args)?,
+            config: cli::Config::from_args(&mut args)?,
             check: args.contains("--check"),
             json: args.contains("--json"),
-            folder: flags::one(args, "folder")?.into(),
+            folder: flags::single_positional(args, "folder")?.into(),
         })
     }
 }
 
-/// What `sync` would do to a file.
+/// Change that `sync` would make to a file.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FileChange {
-    /// It is not in force yet.
+    /// The file is in the folder and not in force.
     Add,
-    /// It is in force with another text.
+    /// The file is in force with a different text.
     Replace,
-    /// It is in force and not in the folder.
+    /// The file is in force and not in the folder.
     Remove,
 }
 
@@ -73,7 +73,7 @@
 
 /// Runs `config diff`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
@@ -82,7 +82,7 @@
     let sources = args.config.sources()?;
     let state = cmd::block_on(async {
         let http = client::Http::open();
-        follow::in_force(&http, sources).await
+        follow::read_settings(&http, sources).await
     })?;
     let report = compare(&state, &folder.files, &merged);
     if args.json {
@@ -91,7 +91,7 @@
         print_text(&report)?;
     }
     if args.check && !report.equal {
-        return answer::end(codes::Code::Differs);
+        return answer::exit_result(codes::Code::Differs);
     }
     Ok(())
 }
@@ -106,12 +106,12 @@
     }
 }
 
-/// What it takes to come from one folder to another.
+/// Returns the changes that turn the files of `old` into those of `new`.
 pub fn file_changes(
     old: &merge::Files,
     new: &merge::Files,
 ) -> collections::BTreeMap<SmolStr, FileChange> {
-    let put = new.iter().filter_map(|(name, text)| {
+    let added_or_replaced = new.iter().filter_map(|(name, text)| {
         let change = match old.get(name) {
             None => FileChange::Add,
             Some(old) if old != text => FileChange::Replace,
@@ -119,8 +119,9 @@
         };
         Some((name.clone(), change))
     });
-    let gone = old.keys().filter(|name| !new.contains_key(*name));
-    put.chain(gone.map(|name| (name.clone(), FileChange::Remove)))
+    let removed = old.keys().filter(|name| !new.contains_key(*name));
+    added_or_replaced
+        .chain(removed.map(|name| (name.clone(), FileChange::Remove)))
         .collect()
 }
 
--- a/src/cmd/config/mod.rs
+++ b/src/cmd/config/mod.rs
@@ -1,4 +1,4 @@
-//! `config`: the settings folder, one file an action.
+//! `config`: checks, compares, shows and changes the settings; one module per action.
 
 use std::ffi;
 
@@ -23,17 +23,17 @@
     bulrushtiller config <action> [options]
 
 Actions:
-    check FOLDER    Check a folder without calling anyone
-    diff FOLDER     Compare a folder with what is in force
-    show            Show what is in force
-    put FILE        Put one file into the folder in force
+    check FOLDER    Check a folder offline
+    diff FOLDER     Compare a folder with the settings in force
+    show            Show the settings in force
+    put FILE        Add or replace one file of the folder in force
     remove NAME     Remove one file from the folder in force
     sync FOLDER     Make the folder in force equal to this one
 
-'bulrushtiller config <action> --help' tells more.
+See 'bulrushtiller config <action> --help' for the options of an action.
 ";
 
-/// Runs the action that the command line names.
+/// Runs the action given on the command line.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
     let mut args = argv.into_iter();
     let name = args.next().unwrap_or_default();
@@ -50,28 +50,28 @@
     }
 }
 
-/// Every problem of a folder, also those that the first ones would hide.
+/// Returns all problems of a folder, including those that the first ones would hide.
 ///
-/// Processes refuse a folder for its first class of problems, in which they all agree.
-/// An operator wants the others as well: the files at fault are left out, and the rest
-/// is checked again.
+/// A process rejects a folder with the first class of problems only, so that all processes
+/// agree on the reason. To report the other classes as well, the files with problems are
+/// left out and the rest is checked again.
 fn problems(folder: &cli::folder::Folder) -> Vec<problem::Problem> {
-    let mut problems = folder.unread.clone();
+    let mut problems = folder.unreadable.clone();
     let mut files = folder.files.clone();
     while let Err(found) = settings_check::check_folder(&files) {
-        let before = files.len();
+        let count_before = files.len();
         files.retain(|name, _text| found.iter().all(|problem| problem.file != *name));
         problems.extend(found);
-        if files.len() == before {
+        if files.len() == count_before {
             break;
         }
     }
     problems
 }
 
-/// Merges a folder; prints its problems and ends if there are any.
+/// Merges a folder; prints its problems and fails if there are any.
 fn checked(folder: &cli::folder::Folder) -> cli::CliResult<merge::Merged> {
-    if folder.unread.is_empty()
+    if folder.unreadable.is_empty()
         && let Ok((_settings, merged)) = settings_check::merge_checked(&folder.files)
     {
         return Ok(merged);
@@ -81,7 +81,7 @@
         cli::out::note(format_args!("{problem} ({})", problem.code.number()));
     }
     let first = problems.first().map(|problem| problem.code);
-    Err(cli::CliError::Ended(
+    Err(cli::CliError::Reported(
         first.unwrap_or(codes::Code::SettingsImpossible),
     ))
 }
--- a/src/cmd/config/put.rs
+++ b/src/cmd/config/put.rs
@@ -1,4 +1,4 @@
-//! `config put`: one file into the folder in force.
+//! `config put`: adds or replaces one file of the folder in force.
 
 use std::ffi;
 use std::path;
@@ -10,26 +10,27 @@
 use crate::cmd::change;
 
 const USAGE: &str = "
-Puts one file into the folder in force, in place of the one of that name.
+Adds one file to the folder in force, or replaces the file of that name.
 
 Usage:
     bulrushtiller config put FILE [options]
 
-Says at which revision it was accepted, or why it was rejected, with file and line.
+Prints the revision at which it was accepted, or the reasons with file and line for
+which it was rejected.
 
 Options:
-    --name N        Name within the folder (default: the file's own)
-    --base REV      Make the change only if this revision is in force ('none': before
-                    the first), so that of two racing operators exactly one wins
-    --id ID         Id of the change, to repeat one whose end was not seen
+    --name N        Name within the folder (default: name of FILE)
+    --base REV      Make the change only if this revision is in force ('none': no revision
+                    yet), so that only one of two concurrent changes is accepted
+    --id ID         Id of the change, to repeat one whose result is unknown
 ";
 
-fn parse(mut args: pico_args::Arguments) -> cli::CliResult<change::One> {
-    let options = change::Options::take(&mut args, false)?;
+fn parse(mut args: pico_args::Arguments) -> cli::CliResult<change::SingleChange> {
+    let options = change::Options::from_args(&mut args, false)?;
     let name: Option<SmolStr> = flags::value(&mut args, "--name")?;
-    let base = change::take_base(&mut args)?;
-    let id = change::take_id(&mut args)?;
-    let path = path::PathBuf::from(flags::one(args, "file")?);
+    let base = change::parse_base(&mut args)?;
+    let id = change::parse_id(&mut args)?;
+    let path = path::PathBuf::from(flags::single_positional(args, "file")?);
     let file = match name {
         Some(name) => name,
         None => cli::folder::name(&path)?,
@@ -41,10 +42,10 @@
         text,
         base,
     };
-    Ok(change::One { options, edit })
+    Ok(change::SingleChange { options, edit })
 }
 
 /// Runs `config put`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    change::run_one(argv, USAGE, parse)
+    change::run_single(argv, USAGE, parse)
 }
--- a/src/cmd/config/remove.rs
+++ b/src/cmd/config/remove.rs
@@ -1,4 +1,4 @@
-//! `config remove`: one file out of the folder in force.
+//! `config remove`: removes one file from the folder in force.
 
 use std::ffi;
 
@@ -16,23 +16,23 @@
 
 Options:
     --base REV      Make the change only if this revision is in force
-    --id ID         Id of the change, to repeat one whose end was not seen
+    --id ID         Id of the change, to repeat one whose result is unknown
 ";
 
-fn parse(mut args: pico_args::Arguments) -> cli::CliResult<change::One> {
-    let options = change::Options::take(&mut args, false)?;
-    let base = change::take_base(&mut args)?;
-    let id = change::take_id(&mut args)?;
+fn parse(mut args: pico_args::Arguments) -> cli::CliResult<change::SingleChange> {
+    let options = change::Options::from_args(&mut args, false)?;
+    let base = change::parse_base(&mut args)?;
+    let id = change::parse_id(&mut args)?;
     let edit = change::Edit {
         id,
-        file: SmolStr::from(flags::one(args, "file name")?),
+        file: SmolStr::from(flags::single_positional(args, "file name")?),
         text: None,
         base,
     };
-    Ok(change::One { options, edit })
+    Ok(change::SingleChange { options, edit })
 }
 
 /// Runs `config remove`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    change::run_one(argv, USAGE, parse)
+    change::run_single(argv, USAGE, parse)
 }
--- a/src/cmd/config/show.rs
+++ b/src/cmd/config/show.rs
@@ -1,4 +1,4 @@
-//! `config show`: what is in force.
+//! `config show`: shows the settings in force.
 
 use std::collections;
 use std::ffi;
@@ -18,12 +18,12 @@
 use crate::settings::record;
 
 const USAGE: &str = "
-Shows what is in force: the merge of the folder, key by key, as TOML.
+Shows the settings in force: the merged files of the folder, key by key, as TOML.
 
 Usage:
     bulrushtiller config show [options]
 
-It is read from the log or, when that is not available, from an entry.
+They are read from the log or, if it is not available, from an entry.
 
 Options:
     --file NAME     Show the text of one file instead
@@ -39,7 +39,7 @@
 impl Args {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
         let parsed = Self {
-            config: cli::Config::take(&mut args)?,
+            config: cli::Config::from_args(&mut args)?,
             file: flags::value(&mut args, "--file")?,
             json: args.contains("--json"),
         };
@@ -57,14 +57,14 @@
 
 /// Runs `config show`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
     let sources = args.config.sources()?;
     let state = cmd::block_on(async {
         let http = client::Http::open();
-        follow::in_force(&http, sources).await
+        follow::read_settings(&http, sources).await
     })?;
     match &args.file {
         Some(name) => show_file(&state, name, args.json),
--- a/src/cmd/load/counters.rs
+++ b/src/cmd/load/counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the entries, read before and after a load.
+//! Counters from the entries' metrics, read before and after a load.
 
 use std::time;
 
@@ -13,10 +13,10 @@
 const PASSED_ON: &str = "bulrushtiller_passed_on_total";
 const FORWARDED: &str = "bulrushtiller_submissions_forwarded_total";
 
-/// Longest wait for one entry's metrics.
+/// Timeout of a call for the metrics of one entry.
 const METRICS_TIMEOUT: time::Duration = time::Duration::from_secs(3);
 
-/// The counters, summed over the entries and over their labels.
+/// Counters, summed over the entries and over their labels.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Counters {
     wasted: f64,
@@ -26,22 +26,22 @@
 }
 
 impl Counters {
-    /// Reads them; `None` when an entry does not answer, since half a sum misleads.
+    /// Reads the counters; `None` if an entry does not answer, since a partial sum is misleading.
     pub async fn read(http: &client::Http, entries: &[SmolStr]) -> Option<Self> {
         let mut sum = Self::default();
         for address in entries {
             let call = http::Call::get(address, "/metrics", METRICS_TIMEOUT);
             let reply = http.call(call).await.ok().filter(http::Reply::is_ok)?;
-            let one = Self::parse(&reply.text());
-            sum.wasted += one.wasted;
-            sum.started += one.started;
-            sum.passed_on += one.passed_on;
-            sum.forwarded += one.forwarded;
+            let counters = Self::parse(&reply.text());
+            sum.wasted += counters.wasted;
+            sum.started += counters.started;
+            sum.passed_on += counters.passed_on;
+            sum.forwarded += counters.forwarded;
         }
         Some(sum)
     }
 
-    /// Reads the Prometheus text format.
+    /// Parses metrics in the Prometheus text format.
     pub fn parse(text: &str) -> Self {
         Self {
             wasted: sum_of(text, WASTED),
@@ -51,8 +51,10 @@
         }
     }
 
-    /// What was added since `before`; an entry that was replaced meanwhile shows as less,
-    /// which counts as nothing.
+    /// Returns the wasted messages since `before`.
+    ///
+    /// The counters of an entry that restarted meanwhile are lower than before; a negative
+    /// difference counts as 0.
     pub fn since(self, before: Self) -> tally::Wasted {
         let messages = (self.wasted - before.wasted).max(0.0);
         let tasks = (self.started - before.started).max(0.0);
@@ -63,7 +65,8 @@
         }
     }
 
-    /// Submissions that were sent on since `before`, likewise.
+    /// Returns the submissions that were sent on since `before`; a negative difference counts
+    /// as 0.
     pub fn sent_on_since(self, before: Self) -> tally::SentOn {
         tally::SentOn {
             passed_on: (self.passed_on - before.passed_on).max(0.0),
@@ -76,7 +79,7 @@
     text.lines().filter_map(|line| value_of(line, name)).sum()
 }
 
-/// The value on a line, if it is one of the metric: `NAME VALUE` or `NAME{LABELS} VALUE`.
+/// Returns the value of a line `NAME VALUE` or `NAME{LABELS} VALUE` if it has the given name.
 fn value_of(line: &str, name: &str) -> Option<f64> {
     let rest = line.strip_prefix(name)?;
     if !rest.starts_with([' ', '{']) {
--- a/src/cmd/load/drive.rs
+++ b/src/cmd/load/drive.rs
@@ -1,4 +1,5 @@
-//! Sends the jobs of a plan when they are due, whether or not earlier ones are answered.
+//! Open-loop load driver: submits the jobs of a plan when they are due, independently of the
+//! answers to earlier ones.
 
 use std::cell;
 use std::collections;
@@ -12,82 +13,83 @@
 use crate::cli::flags;
 use crate::client;
 use crate::client::entries;
-use crate::client::settle;
+use crate::client::exchange;
 use crate::cmd::load::plan;
 use crate::cmd::load::tally;
 use crate::ids;
 
-/// Tickets that are taken in one call.
+/// Number of tickets that one call takes.
 const TICKETS_PER_CALL: u32 = 100;
 
-/// Tickets are dropped this long before they expire, so that none expires on its way.
+/// Margin before the expiry of tickets after which they are discarded, so that none expires
+/// in transit.
 const TICKET_MARGIN: time::Duration = time::Duration::from_secs(5);
 
-/// Bounds of the driver.
+/// Limits of the driver and options of its jobs.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Jobs that are open at the same time.
+    /// Maximum number of jobs that are open at the same time.
     pub open: usize,
     /// Deadline of each job.
     pub deadline: time::Duration,
-    /// Whether tasks may be started again after they may have run.
+    /// Whether a task that may have run may be started again.
     pub idempotent: bool,
 }
 
-/// What the driver shares with the jobs on their way.
+/// State that the driver shares with the open jobs.
 #[derive(Debug)]
 struct Shared {
     entries: entries::Entries,
     bounds: Bounds,
-    tickets: Vec<sync::Mutex<Stock>>,
+    tickets: Vec<sync::Mutex<TicketPool>>,
     tally: cell::RefCell<tally::Tally>,
     open: cell::Cell<usize>,
 }
 
-/// Tickets of one entry, taken ahead of their use.
+/// Tickets of one entry, taken in advance.
 #[derive(Debug)]
-struct Stock {
+struct TicketPool {
     tickets: collections::VecDeque<ids::SubmissionId>,
-    good_until: time::Instant,
+    valid_until: time::Instant,
 }
 
-impl Stock {
+impl TicketPool {
     fn new() -> Self {
         Self {
             tickets: collections::VecDeque::new(),
-            good_until: time::Instant::now(),
+            valid_until: time::Instant::now(),
         }
     }
 
-    /// A ticket that is still good, from the stock or else fresh from its entry.
+    /// Takes a valid ticket from the pool, which is refilled from the entry if necessary.
     async fn take(
         &mut self,
         entries: &entries::Entries,
-        place: usize,
+        index: usize,
     ) -> Result<ids::SubmissionId, client::ClientError> {
-        let is_good = time::Instant::now() < self.good_until;
-        if let Some(ticket) = self.tickets.pop_front().filter(|_ticket| is_good) {
+        let is_valid = time::Instant::now() < self.valid_until;
+        if let Some(ticket) = self.tickets.pop_front().filter(|_ticket| is_valid) {
             return Ok(ticket);
         }
-        let fresh = entries.tickets(place, TICKETS_PER_CALL).await?;
-        let valid = time::Duration::from_millis(fresh.valid_ms).min(flags::MAX_TIME);
-        self.good_until = time::Instant::now() + valid.saturating_sub(TICKET_MARGIN);
-        self.tickets = fresh.tickets.into();
+        let new_tickets = entries.tickets(index, TICKETS_PER_CALL).await?;
+        let valid = time::Duration::from_millis(new_tickets.valid_ms).min(flags::MAX_TIME);
+        self.valid_until = time::Instant::now() + valid.saturating_sub(TICKET_MARGIN);
+        self.tickets = new_tickets.tickets.into();
         self.tickets
             .pop_front()
-            .ok_or_else(|| entries.no_ticket(place))
+            .ok_or_else(|| entries.no_ticket_error(index))
     }
 }
 
-/// Runs the whole plan and waits for the last answer.
+/// Runs the whole plan and waits for the last answer; returns the results and the duration.
 pub async fn drive(
     entries: entries::Entries,
     plan: &plan::Plan,
     bounds: Bounds,
 ) -> (tally::Tally, time::Duration) {
-    let stocks = (0..entries.len()).map(|_| sync::Mutex::new(Stock::new()));
+    let pools = (0..entries.len()).map(|_| sync::Mutex::new(TicketPool::new()));
     let shared = rc::Rc::new(Shared {
-        tickets: stocks.collect(),
+        tickets: pools.collect(),
         entries,
         bounds,
         tally: cell::RefCell::default(),
@@ -95,51 +97,51 @@
     });
     let start = time::Instant::now();
     let mut jobs = Vec::new();
-    for (place, arrival) in plan.arrivals().enumerate() {
+    for (index, arrival) in plan.arrivals().enumerate() {
         rt_time::sleep_until((start + arrival.at).into()).await;
         if shared.open.get() >= bounds.open {
-            shared.count(&arrival, tally::End::NotSent, time::Duration::ZERO, 0);
+            shared.record(&arrival, tally::Outcome::NotSent, time::Duration::ZERO, 0);
             continue;
         }
         shared.open.set(shared.open.get() + 1);
         let due = start + arrival.at;
-        jobs.push(actix_rt::spawn(one_job(
+        jobs.push(actix_rt::spawn(run_job(
             rc::Rc::clone(&shared),
-            place,
+            index,
             arrival,
             due,
         )));
     }
     for job in jobs {
-        let _ended = job.await;
+        let _joined = job.await;
     }
     let elapsed = start.elapsed();
     (shared.tally.take(), elapsed)
 }
 
-/// Sees one job through; its time counts from when it was due.
-async fn one_job(shared: rc::Rc<Shared>, place: usize, arrival: plan::Arrival, due: time::Instant) {
-    let (end, repeats) = match shared.submit(place, &arrival).await {
-        Ok(settled) if settled.answer.is_final => {
-            (tally::End::Answered(settled.answer.code), settled.repeats)
+/// Submits one job and waits for its answer; the response time starts when the job was due.
+async fn run_job(shared: rc::Rc<Shared>, index: usize, arrival: plan::Arrival, due: time::Instant) {
+    let (outcome, repeats) = match shared.submit(index, &arrival).await {
+        Ok(reply) if reply.answer.is_final => {
+            (tally::Outcome::Answered(reply.answer.code), reply.repeats)
         }
-        Ok(settled) => (tally::End::Unanswered(settled.answer.code), settled.repeats),
-        Err(err) => (tally::End::Unanswered(err.code()), 0),
+        Ok(reply) => (tally::Outcome::Unanswered(reply.answer.code), reply.repeats),
+        Err(err) => (tally::Outcome::Unanswered(err.code()), 0),
     };
-    shared.count(&arrival, end, due.elapsed(), repeats);
+    shared.record(&arrival, outcome, due.elapsed(), repeats);
     shared.open.set(shared.open.get() - 1);
 }
 
 impl Shared {
-    fn count(
+    fn record(
         &self,
         arrival: &plan::Arrival,
-        end: tally::End,
+        outcome: tally::Outcome,
         response: time::Duration,
         repeats: u32,
     ) {
         let sample = tally::Sample {
-            end,
+            outcome,
             response,
             ideal_ms: arrival.ideal_ms(),
             work_ms: arrival
@@ -156,8 +158,8 @@
         &self,
         first: usize,
         arrival: &plan::Arrival,
-    ) -> Result<settle::Settled, client::ClientError> {
-        let (place, ticket) = self.ticket(first).await?;
+    ) -> Result<exchange::Reply, client::ClientError> {
+        let (index, ticket) = self.ticket(first).await?;
         let deadline = self.bounds.deadline;
         let submission = api::Submission {
             submission: Some(ticket),
@@ -166,24 +168,25 @@
             idempotent: self.bounds.idempotent,
             tasks: arrival.tasks.clone(),
         };
-        let subject = settle::Subject::Submit(entries::Shape::Job, &submission);
-        let patience = settle::Patience::lasting(deadline + settle::GRACE);
-        settle::settle(&self.entries, place, subject, patience).await
+        let operation = exchange::Operation::Submit(entries::Endpoint::Job, &submission);
+        let limits = exchange::TimeLimits::within(deadline + exchange::GRACE);
+        exchange::perform(&self.entries, index, operation, limits).await
     }
 
-    /// A ticket of the first entry that has or gives one.
+    /// Takes a ticket from the first entry that issues one, starting at `first`.
     async fn ticket(
         &self,
         first: usize,
     ) -> Result<(usize, ids::SubmissionId), client::ClientError> {
-        let mut place = first;
+        let mut index = first;
         loop {
-            // One job at a time asks for more, or a burst would take a hundred each.
-            let mut stock = self.tickets[place % self.entries.len()].lock().await;
-            match stock.take(&self.entries, place).await {
-                Ok(ticket) => return Ok((place, ticket)),
-                Err(err) if place + 1 >= first + self.entries.len() => return Err(err),
-                Err(_refused) => place += 1,
+            // The lock lets only one job refill the pool; otherwise each job of a burst would
+            // take a hundred tickets.
+            let mut pool = self.tickets[index % self.entries.len()].lock().await;
+            match pool.take(&self.entries, index).await {
+                Ok(ticket) => return Ok((index, ticket)),
+                Err(err) if index + 1 >= first + self.entries.len() => return Err(err),
+                Err(_err) => index += 1,
             }
         }
     }
--- a/src/cmd/load/plan.rs
+++ b/src/cmd/load/plan.rs
@@ -1,4 +1,4 @@
-//! Which jobs arrive when; decided by the seed alone.
+//! Plan of a load: arrival times and tasks of the jobs, derived from a seed.
 
 use std::fmt;
 use std::str;
@@ -12,33 +12,33 @@
 use crate::cli;
 use crate::ids;
 
-/// Longest task that a mix may hold.
+/// Longest run time of a task in a mix.
 const MAX_TASK_MS: u32 = 3_600_000;
 
-/// Mixes that have a name of their own.
+/// Predefined mixes.
 ///
-/// `short` and `long` are the brief's "50 ms to a second" and "a few take several
-/// seconds"; `mixed` has one long task in twenty.
+/// `short` and `long` are the run times in the requirements, "50 ms to a second" and "a few
+/// take several seconds"; `mixed` has one long task in twenty.
 const PRESETS: [(&str, &str); 3] = [
     ("short", "short=50..1000"),
     ("long", "long=2000..6000"),
     ("mixed", "short=50..1000@19,long=2000..6000@1"),
 ];
 
-/// Tasks of one kind.
+/// Part of a mix: tasks of one kind.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Part {
-    /// The kind that the tasks declare.
+    /// Declared kind of the tasks.
     pub kind: SmolStr,
-    /// Shortest and longest run time, in milliseconds; uniform between them.
+    /// Shortest run time in milliseconds; run times are uniform from `low_ms` to `high_ms`.
     pub low_ms: u32,
-    /// See `low_ms`.
+    /// Longest run time in milliseconds.
     pub high_ms: u32,
-    /// Its share beside the other parts.
+    /// Weight relative to the other parts.
     pub weight: u32,
 }
 
-/// Which tasks there are.
+/// Distribution of the kinds and run times of tasks.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Mix {
     parts: Vec<Part>,
@@ -58,22 +58,22 @@
 }
 
 fn parse_part(text: &str) -> cli::CliResult<Part> {
-    let wrong = || {
-        let form = "KIND=LOW..HIGH[@WEIGHT], 'short', 'long' or 'mixed'";
-        cli::CliError::Usage(format!("'{text}' is no mix: {form}"))
+    let invalid = || {
+        let expected_form = "KIND=LOW..HIGH[@WEIGHT], 'short', 'long' or 'mixed'";
+        cli::CliError::Usage(format!("'{text}' is not a mix: expected {expected_form}"))
     };
-    let (kind, rest) = text.split_once('=').ok_or_else(wrong)?;
+    let (kind, rest) = text.split_once('=').ok_or_else(invalid)?;
     let (range, weight) = rest.split_once('@').unwrap_or((rest, "1"));
-    let (low, high) = range.split_once("..").ok_or_else(wrong)?;
-    let number = |text: &str| text.parse::<u32>().map_err(|_bad| wrong());
+    let (low, high) = range.split_once("..").ok_or_else(invalid)?;
+    let number = |text: &str| text.parse::<u32>().map_err(|_err| invalid());
     let part = Part {
         kind: ids::check_name(kind)?,
         low_ms: number(low)?,
         high_ms: number(high)?,
         weight: number(weight)?,
     };
-    let is_good = part.low_ms <= part.high_ms && part.high_ms <= MAX_TASK_MS && part.weight > 0;
-    if is_good { Ok(part) } else { Err(wrong()) }
+    let is_valid = part.low_ms <= part.high_ms && part.high_ms <= MAX_TASK_MS && part.weight > 0;
+    if is_valid { Ok(part) } else { Err(invalid()) }
 }
 
 impl fmt::Display for Mix {
@@ -93,16 +93,17 @@
 }
 
 impl Mix {
+    /// Draws a random task.
     fn draw(&self, rng: &mut impl rand::Rng) -> api::Task {
         let total: u64 = self.parts.iter().map(|part| u64::from(part.weight)).sum();
-        let mut place = rng.random_range(0..total);
+        let mut draw_point = rng.random_range(0..total);
         let mut chosen = &self.parts[0];
         for part in &self.parts {
             chosen = part;
-            if place < u64::from(part.weight) {
+            if draw_point < u64::from(part.weight) {
                 break;
             }
-            place -= u64::from(part.weight);
+            draw_point -= u64::from(part.weight);
         }
         let run_ms = rng.random_range(chosen.low_ms..=chosen.high_ms);
         api::Task {
@@ -117,38 +118,39 @@
 /// One job of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it arrives, from the start of the load.
+    /// Arrival time, from the start of the load.
     pub at: time::Duration,
-    /// Its tasks.
+    /// Tasks of the job.
     pub tasks: Vec<api::Task>,
 }
 
 impl Arrival {
-    /// Run time of its longest task: no answer can come sooner.
+    /// Returns the run time of the longest task, a lower bound of the response time.
     pub fn ideal_ms(&self) -> u32 {
         self.tasks.iter().map(|task| task.run_ms).max().unwrap_or(0)
     }
 }
 
-/// What the load is made of.
+/// Parameters of a load.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Jobs a second, on average.
+    /// Average number of jobs per second.
     pub rate: f64,
-    /// How long jobs arrive.
+    /// Time during which jobs arrive.
     pub duration: time::Duration,
-    /// Tasks of each job.
+    /// Number of tasks per job.
     pub job_size: usize,
-    /// Which tasks.
+    /// Distribution of the tasks.
     pub mix: Mix,
-    /// Decides everything else.
+    /// Seed of the arrival times and tasks.
     pub seed: u64,
 }
 
 impl Plan {
-    /// The jobs in the order of their arrival.
+    /// Returns the jobs in order of arrival.
     ///
-    /// The gaps are exponential, as those of many independent callers are.
+    /// The gaps between them have an exponential distribution, like those of many
+    /// independent callers.
     pub fn arrivals(&self) -> impl Iterator<Item = Arrival> {
         let mut rng = rand_chacha::ChaCha8Rng::seed_from_u64(self.seed);
         let mut at = time::Duration::ZERO;
--- a/src/cmd/load/render.rs
+++ b/src/cmd/load/render.rs
@@ -1,10 +1,10 @@
-//! The figures of a load, for people.
+//! Formats the figures of a load as text.
 
 use crate::cmd::load::plan;
 use crate::cmd::load::tally;
 use crate::codes;
 
-/// All figures, a line each.
+/// Formats all figures, one per line.
 pub fn render(plan: &plan::Plan, report: &tally::Report) -> String {
     let mut lines = vec![
         format!(
@@ -28,7 +28,7 @@
     lines.push(format!("not sent     {}", report.not_sent));
     lines.push(format!("repeats      {}", report.repeats));
     lines.push(report.over_ideal.map_or_else(
-        || "over ideal   nothing was complete".to_owned(),
+        || "over ideal   no job was complete".to_owned(),
         |over| {
             format!(
                 "over ideal   p50 {:.3}  p90 {:.3}  p99 {:.3}  max {:.3}",
@@ -57,16 +57,18 @@
 
 fn sent_on_line(sent_on: tally::SentOn) -> String {
     let (passed_on, forwarded) = (sent_on.passed_on, sent_on.forwarded);
-    format!("sent on      {passed_on} to the leading entry, {forwarded} to that of their ticket")
+    format!(
+        "sent on      {passed_on} to the leading entry, {forwarded} to the entry of their ticket"
+    )
 }
 
 fn wasted_line(wasted: Option<tally::Wasted>) -> String {
     let Some(wasted) = wasted else {
-        return "wasted       not known, an entry's metrics could not be read".to_owned();
+        return "wasted       unknown, the metrics of an entry could not be read".to_owned();
     };
     let (messages, tasks) = (wasted.messages, wasted.tasks);
     let ratio = wasted
         .per_task
         .map_or_else(|| "-".to_owned(), |ratio| format!("{ratio:.4}"));
-    format!("wasted       {ratio} messages a task ({messages} over {tasks})")
+    format!("wasted       {ratio} messages per task ({messages} for {tasks})")
 }
--- a/src/cmd/load/tally.rs
+++ b/src/cmd/load/tally.rs
@@ -1,4 +1,4 @@
-//! What came of a load, as callers saw it.
+//! Collects the results of a load as seen by callers.
 
 use std::collections;
 use std::time;
@@ -7,42 +7,42 @@
 
 use crate::codes;
 
-/// The histogram keeps response time over ideal in thousandths.
+/// Scale of the histogram: it stores the ratio of response time to ideal in thousandths.
 const SCALE: f64 = 1000.0;
 
-/// Digits that the histogram keeps.
+/// Significant digits of the histogram.
 const DIGITS: u8 = 3;
 
-/// Greatest ratio that is told apart from greater ones.
+/// Largest value of the histogram, in thousandths; larger ratios are recorded as this one.
 const MAX_RATIO: u64 = 1_000_000;
 
-/// What became of one job.
+/// Outcome of one job.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum End {
-    /// A final answer.
+pub enum Outcome {
+    /// The job got a final answer with this code.
     Answered(codes::Code),
-    /// No final answer in time, or none at all.
+    /// The job got no final answer in time; the code is that of the last answer or error.
     Unanswered(codes::Code),
-    /// Too many jobs were open already; it was never sent.
+    /// The job was not sent, since too many were open.
     NotSent,
 }
 
-/// One job with its times.
+/// Outcome and times of one job.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// What became of it.
-    pub end: End,
-    /// From its arrival to its answer.
+    /// Outcome of the job.
+    pub outcome: Outcome,
+    /// Time from the arrival of the job to its answer.
     pub response: time::Duration,
-    /// Run time of its longest task.
+    /// Run time of the longest task, in milliseconds.
     pub ideal_ms: u32,
-    /// Run time of all its tasks together.
+    /// Total run time of all tasks, in milliseconds.
     pub work_ms: u64,
-    /// Calls that were repeated.
+    /// Number of repeated calls.
     pub repeats: u32,
 }
 
-/// Counts that grow with each job.
+/// Counts and response times of all jobs of a load.
 #[derive(Debug)]
 pub struct Tally {
     by_code: collections::BTreeMap<codes::Code, u64>,
@@ -68,13 +68,13 @@
 }
 
 impl Tally {
-    /// Counts a job.
+    /// Adds a job.
     pub fn add(&mut self, sample: &Sample) {
         self.repeats += u64::from(sample.repeats);
-        match sample.end {
-            End::NotSent => self.not_sent += 1,
-            End::Unanswered(code) => *self.unanswered.entry(code).or_default() += 1,
-            End::Answered(code) => {
+        match sample.outcome {
+            Outcome::NotSent => self.not_sent += 1,
+            Outcome::Unanswered(code) => *self.unanswered.entry(code).or_default() += 1,
+            Outcome::Answered(code) => {
                 *self.by_code.entry(code).or_default() += 1;
                 if code == codes::Code::Complete {
                     self.completed_ms += sample.work_ms;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The figures; `elapsed` is from the first arrival to the last answer.
+    /// Returns the figures; `elapsed` is the time from the start of the load to the last answer.
     pub fn report(&self, elapsed: time::Duration, slots: Option<u32>) -> Report {
         let jobs: u64 = self.by_code.values().chain(self.unanswered.values()).sum();
         let seconds = elapsed.as_secs_f64().max(f64::MIN_POSITIVE);
@@ -92,8 +92,8 @@
         Report {
             jobs: jobs + self.not_sent,
             seconds: elapsed.as_secs_f64(),
-            by_code: numbered(&self.by_code),
-            unanswered: numbered(&self.unanswered),
+            by_code: by_number(&self.by_code),
+            unanswered: by_number(&self.unanswered),
             not_sent: self.not_sent,
             repeats: self.repeats,
             over_ideal: self.quantiles(),
@@ -115,79 +115,79 @@
     }
 }
 
-/// Response time over ideal in thousandths; a task of no length counts as one millisecond.
+/// Returns the ratio of response time to ideal in thousandths; an ideal of 0 counts as 1 ms.
 fn ratio(sample: &Sample) -> u64 {
     let micros = u64::try_from(sample.response.as_micros()).unwrap_or(u64::MAX);
     micros / u64::from(sample.ideal_ms.max(1))
 }
 
-fn numbered(counts: &collections::BTreeMap<codes::Code, u64>) -> collections::BTreeMap<u16, u64> {
+fn by_number(counts: &collections::BTreeMap<codes::Code, u64>) -> collections::BTreeMap<u16, u64> {
     counts
         .iter()
         .map(|(code, count)| (code.number(), *count))
         .collect()
 }
 
-/// Quantiles of response time over ideal, of the complete jobs.
+/// Quantiles of the ratio of response time to ideal, over the complete jobs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Quantiles {
-    /// Half are at most this.
+    /// Median.
     pub p50: f64,
-    /// Nine in ten are.
+    /// 90th percentile.
     pub p90: f64,
-    /// Ninety-nine in a hundred are.
+    /// 99th percentile.
     pub p99: f64,
-    /// All are.
+    /// Maximum.
     pub max: f64,
 }
 
-/// Messages that did not lead to a start, from the entries' counters.
+/// Messages that did not lead to the start of a task, from the entries' counters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Wasted {
-    /// Messages wasted during the load.
+    /// Number of wasted messages during the load.
     pub messages: f64,
-    /// Tasks started during the load.
+    /// Number of tasks started during the load.
     pub tasks: f64,
-    /// The one over the other; absent when nothing was started.
+    /// Wasted messages per started task; `None` if no task was started.
     pub per_task: Option<f64>,
 }
 
-/// Submissions that an entry sent on to another, from the entries' counters.
+/// Submissions that entries sent on to another entry, from the entries' counters.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct SentOn {
-    /// To the leading entry, since slots were scarce.
+    /// Number sent to the leading entry, since slots were scarce.
     pub passed_on: f64,
-    /// To the entry that minted their ticket.
+    /// Number sent to the entry that issued the ticket.
     pub forwarded: f64,
 }
 
-/// All figures.
+/// Figures of a load.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Report {
-    /// Jobs that arrived.
+    /// Number of jobs that arrived.
     pub jobs: u64,
-    /// From the first arrival to the last answer.
+    /// Seconds from the start of the load to the last answer.
     pub seconds: f64,
-    /// Final answers by their code's number.
+    /// Number of final answers by code.
     pub by_code: collections::BTreeMap<u16, u64>,
-    /// Jobs without a final answer, by the code of what happened instead.
+    /// Number of jobs without a final answer, by the code of the last answer or error.
     pub unanswered: collections::BTreeMap<u16, u64>,
-    /// Jobs that were not sent, since too many were open.
+    /// Number of jobs that were not sent, since too many were open.
     pub not_sent: u64,
-    /// Calls that were repeated.
+    /// Number of repeated calls.
     pub repeats: u64,
-    /// Response time over ideal; absent when nothing was complete.
+    /// Ratio of response time to ideal; `None` if no job was complete.
     pub over_ideal: Option<Quantiles>,
-    /// Task milliseconds of complete jobs a second.
+    /// Run time of the tasks of complete jobs, in milliseconds per second.
     pub completed_task_ms_per_s: f64,
-    /// That over what the slots could do; absent when their number is not given.
+    /// The same relative to the capacity of the slots; `None` if their number is not given.
     pub goodput: Option<f64>,
-    /// Absent when an entry's counters could not be read.
+    /// Wasted messages; `None` if the counters of an entry could not be read.
     pub wasted: Option<Wasted>,
-    /// Absent likewise.
+    /// Submissions sent on; `None` if the counters of an entry could not be read.
     pub sent_on: Option<SentOn>,
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The tool's subcommands, one file each.
+//! Subcommands of the tool, one module each.
 
 use std::ffi;
 use std::future;
@@ -19,31 +19,31 @@
 pub mod zone;
 
 const USAGE: &str = "
-bulrushtiller, the callers' and operators' tool
+bulrushtiller, the command-line tool for callers and operators
 
 Usage:
     bulrushtiller <command> [options]
 
 Callers:
     submit      Submit a job or a single request and wait for its answer
-    fetch       Get the answer to a submission made before
+    fetch       Get the answer to an earlier submission
     cancel      Cancel submissions
 
 Operators:
-    status      Show entries, runners and the settings in force at each
+    status      Show the entries and runners, and the settings in force at each
     config      Check, compare, show and change the settings
     zone        Take availability zones out of service and bring them back
-    audit       Show who changed which settings, and what became of it
-    load        Put a load on the entries and print what callers received
+    audit       Show the changes of the settings, their authors and results
+    load        Put a load on the entries and print figures about the answers
     token       Hash a token for the settings
 
-Exit status: 0 complete, 1 failed, 2 wrong command line, 3 not run, 4 may have run,
-5 bad request, 6 settings not accepted, 7 the tool could not do its work.
+Exit status: 0 complete, 1 failed, 2 invalid command line, 3 not run, 4 may have run,
+5 bad request, 6 settings not accepted, 7 the tool itself failed.
 
-'bulrushtiller <command> --help' tells more.
+See 'bulrushtiller <command> --help' for the options of a command.
 ";
 
-/// Runs the subcommand that the command line names.
+/// Runs the subcommand given on the command line.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
     let mut args = argv.into_iter();
     let name = args.next().unwrap_or_default();
@@ -64,7 +64,7 @@
     }
 }
 
-/// The command line of a subcommand that shows something and has no option of its own.
+/// Parsed command line of a subcommand with no options but the common ones and `--json`.
 struct ShowArgs {
     config: cli::Config,
     json: bool,
@@ -73,7 +73,7 @@
 impl ShowArgs {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
         let parsed = Self {
-            config: cli::Config::take(&mut args)?,
+            config: cli::Config::from_args(&mut args)?,
             json: args.contains("--json"),
         };
         flags::finish(args)?;
@@ -81,18 +81,18 @@
     }
 }
 
-/// Complains about a subcommand.
+/// Returns the error for a missing or unknown subcommand.
 fn unknown(name: &ffi::OsStr, usage: &str) -> cli::CliError {
     let name = name.to_string_lossy();
     let complaint = if name.is_empty() {
-        "a command is needed".to_owned()
+        "a command is required".to_owned()
     } else {
         format!("there is no command '{name}'")
     };
     cli::CliError::Usage(format!("{complaint}\n\n{}", usage.trim()))
 }
 
-/// Runs the calls of a subcommand on this thread.
+/// Runs a future to completion on this thread, in a new actix system.
 fn block_on<F: future::Future>(calls: F) -> F::Output {
     actix_rt::System::new().block_on(calls)
 }
--- a/src/cmd/status.rs
+++ b/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! `status`: every process that can be found.
+//! `status`: shows every process that can be found.
 
 use std::ffi;
 
@@ -10,22 +10,22 @@
 use crate::codes;
 
 const USAGE: &str = "
-Shows every process that the given entries and their peers know.
+Shows every process that the given entries or their peers report.
 
 Usage:
     bulrushtiller status [options]
 
-Columns: role, name, availability zone, state, revision of the settings in force
-there, slots in use, tasks waiting, tasks running, whether it may start work, and the
-entry that decides while slots are scarce, as each entry sees it.
+Columns: role, name, availability zone, state, revision of the settings in force at the
+process, slots in use, tasks waiting, tasks running, whether it may start tasks, and the
+entry that decides while slots are scarce, as seen by each entry.
 
 Options:
-    --json          Print a JSON array, one object a process
+    --json          Print a JSON array, one object per process
 ";
 
 /// Runs `status`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = cmd::ShowArgs::parse(args)?;
@@ -39,7 +39,7 @@
     } else {
         cli::out::print(&render(&processes))?;
     }
-    note_silent(&processes);
+    note_unanswered(&processes);
     if processes.iter().any(|process| process.answered) {
         return Ok(());
     }
@@ -49,14 +49,14 @@
     ))
 }
 
-/// Tells which addresses an operator should look at.
-fn note_silent(processes: &[survey::Process]) {
+/// Prints the entries that do not answer, with the given addresses they may belong to.
+fn note_unanswered(processes: &[survey::Process]) {
     for process in processes {
         if !process.perhaps_at.is_empty() {
-            let name = process.shown_name();
-            let at = process.perhaps_at.join(", ");
+            let name = process.display_name();
+            let addresses = process.perhaps_at.join(", ");
             cli::out::note(format_args!(
-                "{name} does not answer; given as {at}, perhaps"
+                "{name} does not answer; it may have been given as {addresses}"
             ));
         }
     }
@@ -81,7 +81,7 @@
     let fresh = process.fresh.map(|fresh| if fresh { "yes" } else { "no" });
     vec![
         cli::out::cell(Some(&process.role).filter(|role| !role.is_empty())),
-        process.shown_name().to_string(),
+        process.display_name().to_string(),
         cli::out::cell(Some(&process.zone).filter(|zone| !zone.is_empty())),
         process.state.to_string(),
         cli::out::cell(process.revision),
--- a/src/cmd/submit.rs
+++ b/src/cmd/submit.rs
@@ -1,4 +1,4 @@
-//! `submit`: a job or a single request, seen through to its answer.
+//! `submit`: submits a job or a single request and waits for its answer.
 
 use std::ffi;
 use std::io;
@@ -13,7 +13,7 @@
 use crate::cli::flags;
 use crate::client;
 use crate::client::entries;
-use crate::client::settle;
+use crate::client::exchange;
 use crate::cmd;
 use crate::cmd::answer;
 use crate::codes;
@@ -25,43 +25,43 @@
 Usage:
     bulrushtiller submit [options]
 
-The job is the JSON body of POST /v1/jobs, or is made from the flags. A ticket is
-taken first, so that a call whose answer is lost is repeated through the next entry
-without a second start.
+The job is the JSON body of POST /v1/jobs, or is made from the flags. The tool takes a
+ticket first, so that it can repeat a call whose answer is lost through the next entry
+without starting a task twice.
 
 Options:
     --file JOB.json     Read the job from a file; '-' is standard input
-    --tasks N           Number of equal tasks (default 1)
-    --kind KIND         What sort of task it is
-    --payload TEXT      Passed to the backend server
-    --cpu-milli N       Thousandths of a core, each task
-    --memory-mib N      Mebibytes, each task
-    --accelerators N    Whole accelerators, each task
-    --run-ms N          Expected run time, each task
-    --deadline-ms N     When the answer is wanted (default 60000)
-    --wait-ms N         How long to wait for it (default: until the deadline); 0 gives
-                        the submission id at once, for 'fetch'
-    --idempotent        A task may be started again after it may have run
+    --tasks N           Number of identical tasks (default 1)
+    --kind KIND         Kind of the tasks
+    --payload TEXT      Payload for the backend server
+    --cpu-milli N       Thousandths of a core per task
+    --memory-mib N      Mebibytes of memory per task
+    --accelerators N    Whole accelerators per task
+    --run-ms N          Expected run time per task
+    --deadline-ms N     Deadline, from now (default 60000)
+    --wait-ms N         Time to wait for the answer (default: until the deadline); 0
+                        prints the submission id at once, for 'fetch'
+    --idempotent        A task that may have run may be started again
     --request           A single request instead of a job
-    --submission ID     An id of your own, or a ticket taken before
+    --submission ID     Id of your own choice, or an earlier ticket
     --json              Print the answer as JSON
 ";
 
-/// Deadline of a submission that names none.
-const DEADLINE: time::Duration = time::Duration::from_secs(60);
+/// Deadline of a submission without one.
+const DEFAULT_DEADLINE: time::Duration = time::Duration::from_secs(60);
 
-/// Longest time that is spent on taking a ticket; nothing has been submitted by then.
-const TICKET_PATIENCE: time::Duration = time::Duration::from_secs(5);
+/// Time limit for taking a ticket; nothing is submitted before there is one.
+const TICKET_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// Largest job file, in bytes.
 const MAX_FILE_BYTES: u64 = 64 << 20;
 
-/// Most tasks that the flags can ask for.
+/// Maximum number of tasks of a job that is made from flags.
 const MAX_TASKS: usize = 100_000;
 
 struct Args {
     config: cli::Config,
-    shape: entries::Shape,
+    endpoint: entries::Endpoint,
     submission: api::Submission,
     deadline: time::Duration,
     wait: Option<time::Duration>,
@@ -70,12 +70,12 @@
 
 impl Args {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
-        let config = cli::Config::take(&mut args)?;
+        let config = cli::Config::from_args(&mut args)?;
         let json = args.contains("--json");
-        let shape = if args.contains("--request") {
-            entries::Shape::Request
+        let endpoint = if args.contains("--request") {
+            entries::Endpoint::Request
         } else {
-            entries::Shape::Job
+            entries::Endpoint::Job
         };
         let deadline = flags::millis(&mut args, "--deadline-ms")?;
         let wait = flags::millis(&mut args, "--wait-ms")?;
@@ -94,13 +94,13 @@
         if let Some(deadline) = deadline {
             submission.deadline_ms = Some(as_millis(deadline));
         }
-        check(shape, &submission)?;
+        check_submission(endpoint, &submission)?;
         let deadline = submission
             .deadline_ms
-            .map_or(DEADLINE, time::Duration::from_millis);
+            .map_or(DEFAULT_DEADLINE, time::Duration::from_millis);
         Ok(Self {
             config,
-            shape,
+            endpoint,
             submission,
             deadline: deadline.min(flags::MAX_TIME),
             wait,
@@ -109,26 +109,29 @@
     }
 }
 
-/// Refuses what no entry would take.
-fn check(shape: entries::Shape, submission: &api::Submission) -> cli::CliResult<()> {
+/// Checks a submission for errors that every entry would refuse.
+fn check_submission(
+    endpoint: entries::Endpoint,
+    submission: &api::Submission,
+) -> cli::CliResult<()> {
     let count = submission.tasks.len();
-    let complaint = match shape {
+    let message = match endpoint {
         _ if count == 0 => "a submission has at least one task",
-        entries::Shape::Request if count > 1 => "a request has exactly one task",
+        entries::Endpoint::Request if count > 1 => "a request has exactly one task",
         _ if submission.deadline_ms == Some(0) => "the deadline must be later than now",
         _ => return Ok(()),
     };
-    Err(cli::CliError::Usage(complaint.to_owned()))
+    Err(cli::CliError::Usage(message.to_owned()))
 }
 
 fn read_job(path: &path::Path) -> cli::CliResult<api::Submission> {
-    let failed = |err| cli::CliError::Io(path.display().to_string(), err);
+    let io_error = |err| cli::CliError::Io(path.display().to_string(), err);
     let text = if path.as_os_str() == "-" {
         read_limited(io::stdin().lock())
     } else {
         std::fs::File::open(path).and_then(read_limited)
     };
-    let text = text.map_err(failed)?;
+    let text = text.map_err(io_error)?;
     serde_json::from_str(&text).map_err(|err| {
         cli::CliError::failed(codes::Code::BadBody, format!("{}: {err}", path.display()))
     })
@@ -167,100 +170,100 @@
 
 /// Runs `submit`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
-    let settled = cmd::block_on(async {
+    let reply = cmd::block_on(async {
         let entries = args.config.open_entries()?;
         submit(&entries, &args).await
     })?;
-    answer::print(&settled.answer, args.json)?;
-    still_pending(&settled.answer, args.wait)
+    answer::print(&reply.answer, args.json)?;
+    check_final(&reply.answer, args.wait)
 }
 
-/// Ends with an error if the answer was awaited to the end and never came.
-pub fn still_pending(answer: &api::Answer, wait: Option<time::Duration>) -> cli::CliResult<()> {
+/// Fails if the tool waited until the deadline and received no final answer.
+pub fn check_final(answer: &api::Answer, wait: Option<time::Duration>) -> cli::CliResult<()> {
     if answer.is_final || wait.is_some() {
         return Ok(());
     }
     let text = format!(
-        "no final answer in time; 'fetch {}' asks again",
+        "no final answer in time; use 'fetch {}' to get it later",
         cli::out::cell(answer.submission.as_ref())
     );
     Err(cli::CliError::failed(codes::Code::TimedOut, text))
 }
 
-async fn submit(entries: &entries::Entries, args: &Args) -> cli::CliResult<settle::Settled> {
+async fn submit(entries: &entries::Entries, args: &Args) -> cli::CliResult<exchange::Reply> {
     if args.submission.submission.is_some() {
-        return see_through(entries, 0, &args.submission, args).await;
+        return submit_and_wait(entries, 0, &args.submission, args).await;
     }
     let mut first = 0;
     loop {
-        let (place, ticket) = take_ticket(entries, first, args.deadline).await?;
+        let (index, ticket) = take_ticket(entries, first, args.deadline).await?;
         let submission = api::Submission {
             submission: Some(ticket),
             ..args.submission.clone()
         };
-        let settled = see_through(entries, place, &submission, args).await?;
-        // The entry began to stop after it gave the ticket. Its refusal is the last word
-        // on that ticket, so a ticket of another entry can't lead to a second start.
-        let left = settled.answer.is_final && settled.answer.code == codes::Code::Leaving;
-        first = place + 1;
-        if !left || first >= entries.len() {
-            return Ok(settled);
+        let reply = submit_and_wait(entries, index, &submission, args).await?;
+        // The entry began to stop after it issued the ticket. Its refusal is final for that
+        // ticket, so that a ticket of another entry can't lead to a second start.
+        let is_leaving = reply.answer.is_final && reply.answer.code == codes::Code::Leaving;
+        first = index + 1;
+        if !is_leaving || first >= entries.len() {
+            return Ok(reply);
         }
     }
 }
 
-async fn see_through(
+async fn submit_and_wait(
     entries: &entries::Entries,
-    place: usize,
+    index: usize,
     submission: &api::Submission,
     args: &Args,
-) -> cli::CliResult<settle::Settled> {
-    let end = args.deadline + settle::GRACE;
+) -> cli::CliResult<exchange::Reply> {
+    let end = args.deadline + exchange::GRACE;
     let now = time::Instant::now();
-    let patience = settle::Patience {
+    let limits = exchange::TimeLimits {
         answer_by: now + args.wait.unwrap_or(end),
         repeat_until: now + end,
     };
-    let subject = settle::Subject::Submit(args.shape, submission);
-    let settled = settle::settle(entries, place, subject, patience).await;
-    settled.map_err(|err| unanswered(&err, submission))
+    let operation = exchange::Operation::Submit(args.endpoint, submission);
+    let reply = exchange::perform(entries, index, operation, limits).await;
+    reply.map_err(|err| no_answer_error(&err, submission))
 }
 
-/// Tells what is known of a submission to which no entry gave any answer.
-fn unanswered(err: &client::ClientError, submission: &api::Submission) -> cli::CliError {
+/// Returns the error for a submission without any answer, which may have been accepted.
+fn no_answer_error(err: &client::ClientError, submission: &api::Submission) -> cli::CliError {
     let id = cli::out::cell(submission.submission.as_ref());
-    let text = format!("{err}; it may have been taken in: 'fetch {id}' asks again");
+    let text = format!("{err}; it may have been accepted: use 'fetch {id}' to get the answer");
     cli::CliError::failed(err.code(), text)
 }
 
-/// Has one of the entries mint a ticket and tells which did.
+/// Takes a ticket from one of the entries and returns it with the index of the entry.
 async fn take_ticket(
     entries: &entries::Entries,
     first: usize,
     deadline: time::Duration,
 ) -> cli::CliResult<(usize, ids::SubmissionId)> {
-    let until = time::Instant::now() + deadline.min(TICKET_PATIENCE);
-    for (place, pause) in (first..).zip(settle::pauses()) {
-        let err = match entries.tickets(place, 1).await {
+    let until = time::Instant::now() + deadline.min(TICKET_TIMEOUT);
+    for (index, delay) in (first..).zip(exchange::backoff()) {
+        let err = match entries.tickets(index, 1).await {
             Ok(tickets) => match tickets.tickets.into_iter().next() {
-                Some(ticket) => return Ok((place, ticket)),
-                None => entries.no_ticket(place),
+                Some(ticket) => return Ok((index, ticket)),
+                None => entries.no_ticket_error(index),
             },
             Err(err) => err,
         };
-        let is_last_word = err.code().class() == codes::Class::BadRequest;
-        if is_last_word || time::Instant::now() >= until {
+        let is_permanent = err.code().class() == codes::Class::BadRequest;
+        if is_permanent || time::Instant::now() >= until {
             return Err(err.into());
         }
-        rt_time::sleep(pause).await;
+        rt_time::sleep(delay).await;
     }
     Err(cli::CliError::failed(
         codes::Code::TimedOut,
-        "no entry gave a ticket",
+        "no entry issued a ticket in time",
     ))
 }
 
--- a/src/cmd/token.rs
+++ b/src/cmd/token.rs
@@ -1,4 +1,4 @@
-//! `token`: hashes of bearer tokens.
+//! `token`: hashes bearer tokens for the settings.
 
 use std::ffi;
 use std::io;
@@ -14,8 +14,8 @@
 Usage:
     bulrushtiller token hash [TOKEN] [--json]
 
-Without TOKEN, or with '-', the token is the first line of standard input, which
-keeps it out of the shell's history.
+Without TOKEN, or with '-', the token is read from the first line of standard input,
+which keeps it out of the shell's history.
 
 Options:
     --json          Print {\"token_sha256\": \"...\"}
@@ -32,15 +32,15 @@
 impl Args {
     fn parse(mut args: pico_args::Arguments) -> cli::CliResult<Self> {
         let json = args.contains("--json");
-        let mut free = flags::free(args)?.into_iter();
-        if free.next().as_deref() != Some("hash") {
-            let text = format!("'hash' is the only action\n\n{}", USAGE.trim());
+        let mut positionals = flags::positionals(args)?.into_iter();
+        if positionals.next().as_deref() != Some("hash") {
+            let text = format!("the only action is 'hash'\n\n{}", USAGE.trim());
             return Err(cli::CliError::Usage(text));
         }
-        let token = free.next().filter(|token| token != "-");
-        if let Some(more) = free.next() {
+        let token = positionals.next().filter(|token| token != "-");
+        if let Some(extra) = positionals.next() {
             return Err(cli::CliError::Usage(format!(
-                "unexpected argument '{more}'"
+                "unexpected argument '{extra}'"
             )));
         }
         Ok(Self { token, json })
@@ -49,7 +49,7 @@
 
 /// Runs `token`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
-    let Some(args) = flags::start(argv, USAGE)? else {
+    let Some(args) = flags::arguments_or_help(argv, USAGE)? else {
         return Ok(());
     };
     let args = Args::parse(args)?;
@@ -58,7 +58,7 @@
         None => read_line()?,
     };
     if token.is_empty() || !token.bytes().all(|b| b.is_ascii_graphic()) {
-        let text = "a token has at least one character, no blanks and nothing but visible ASCII";
+        let text = "a token consists of at least one visible ASCII character, without spaces";
         return Err(cli::CliError::Usage(text.to_owned()));
     }
     let hash = hash(&token);
--- a/src/cmd/zone.rs
+++ b/src/cmd/zone.rs
@@ -1,4 +1,4 @@
-//! `zone`: availability zones out of service and back.
+//! `zone`: takes availability zones out of service and brings them back.
 
 use std::collections;
 use std::ffi;
@@ -27,16 +27,17 @@
     bulrushtiller zone in ZONE [options]
     bulrushtiller zone list [--json]
 
-'out' and 'in' put the file 99-zone-ZONE.toml into the folder in force and wait until
-every process that 'status' finds has it, unless --no-wait is given.
+'out' and 'in' put the file 99-zone-ZONE.toml into the folder in force and wait until it
+is in force at every process that 'status' finds, unless --no-wait is given.
 ";
 
-/// Start and end of the names of this command's files; they come late in the order of
-/// names, so that they settle the matter.
+/// Prefix and suffix of the names of this command's files.
+///
+/// Later files override earlier ones; the prefix sorts these after most others.
 const FILE_PREFIX: &str = "99-zone-";
 const FILE_SUFFIX: &str = ".toml";
 
-/// Whether a file is one of those that this command writes.
+/// Whether a file has a name that this command uses.
 pub fn is_zone_file(name: &str) -> bool {
     name.starts_with(FILE_PREFIX) && name.ends_with(FILE_SUFFIX)
 }
@@ -44,36 +45,36 @@
 /// Runs `zone`.
 pub fn run(argv: Vec<ffi::OsString>) -> cli::CliResult<()> {
     let usage = format!("{USAGE}{}", change::USAGE);
-    let Some(mut args) = flags::start(argv, &usage)? else {
+    let Some(mut args) = flags::arguments_or_help(argv, &usage)? else {
         return Ok(());
     };
     match args.subcommand()?.as_deref() {
-        Some("out") => switch(args, true),
-        Some("in") => switch(args, false),
+        Some("out") => change_service(args, true),
+        Some("in") => change_service(args, false),
         Some("list") => list(args),
         other => Err(cmd::unknown(other.unwrap_or_default().as_ref(), USAGE)),
     }
 }
 
-/// One availability zone to be taken out or brought back.
-struct Switch {
+/// Parsed command line of `zone out` and `zone in`.
+struct Args {
     options: change::Options,
     zone: SmolStr,
     out: bool,
 }
 
-impl Switch {
+impl Args {
     fn parse(mut args: pico_args::Arguments, out: bool) -> cli::CliResult<Self> {
         Ok(Self {
-            options: change::Options::take(&mut args, true)?,
-            zone: ids::check_name(&flags::one(args, "availability zone")?)?,
+            options: change::Options::from_args(&mut args, true)?,
+            zone: ids::check_name(&flags::single_positional(args, "availability zone")?)?,
             out,
         })
     }
 
     fn edit(&self) -> change::Edit {
         let Self { zone, out, .. } = self;
-        // File names are in lower case, names of zones need not be.
+        // File names must be in lower case, names of zones need not be.
         let stem = zone.to_ascii_lowercase();
         change::Edit {
             id: publish::random_id(),
@@ -84,8 +85,8 @@
     }
 }
 
-fn switch(args: pico_args::Arguments, out: bool) -> cli::CliResult<()> {
-    let args = Switch::parse(args, out)?;
+fn change_service(args: pico_args::Arguments, out: bool) -> cli::CliResult<()> {
+    let args = Args::parse(args, out)?;
     let (outcome, is_out, is_known) = cmd::block_on(async {
         let mut editor = change::Editor::open(&args.options).await?;
         let edit = args.edit();
@@ -93,38 +94,39 @@
         editor.apply(&edit).await?;
         let is_out = editor.state().settings().is_zone_out(&args.zone);
         let outcome = editor.finish().await?;
-        let is_known = is_known(args.options.config.known_entries(), &args.zone).await;
+        let is_known = is_known(args.options.config.entries_or_empty(), &args.zone).await;
         Ok::<_, cli::CliError>((outcome, is_out, is_known))
     })?;
     let printed = change::print(&outcome, &args.options);
     if !is_known {
         let zone = &args.zone;
         cli::out::note(format_args!(
-            "no process is in an availability zone '{zone}'; 'zone list' shows all that are"
+            "no process is in an availability zone '{zone}'; see 'zone list' for the existing zones"
         ));
     }
     printed?;
     if is_out == args.out {
         return Ok(());
     }
-    // An operator must not believe in a change that was accepted and has no effect.
-    let text = "the change was accepted, but a file with a later name says otherwise";
+    // The change was accepted but has no effect, which the operator must notice.
+    let text = "the change was accepted, but a file with a later name overrides it";
     Err(cli::CliError::failed(codes::Code::SettingsConflict, text))
 }
 
-/// Whether a process that answers or is known to one that does is in the zone.
+/// Whether a process that answers, or that is reported by one, is in the zone; also `true` if no
+/// process answers.
 ///
-/// A mistyped name is accepted, since a zone may be out before its first process comes;
-/// untold, the operator would believe that the zone that was meant is out.
+/// A mistyped name is accepted, since a zone may be taken out before its first process
+/// starts. The operator must be warned, or would believe that the intended zone is out.
 async fn is_known(entries: &[SmolStr], zone: &str) -> bool {
     let processes = survey::survey(&client::Http::open(), entries).await;
     let is_in = |process: &survey::Process| process.zone == zone;
     !processes.iter().any(|process| process.answered) || processes.iter().any(is_in)
 }
 
-/// Refuses to replace a file that speaks of another availability zone.
+/// Fails if the edit would replace a file about another availability zone.
 ///
-/// Names of zones that differ in case only share a file; to put it for one would
+/// Zones whose names differ only in case share a file. Replacing it for one zone would
 /// silently bring the other back into service.
 fn check_other_zones(
     editor: &change::Editor<'_>,
@@ -146,7 +148,7 @@
     }
 }
 
-/// One availability zone as it stands.
+/// State of one availability zone.
 #[derive(Clone, Debug, Default)]
 #[derive(Serialize)]
 struct Zone {
@@ -163,11 +165,11 @@
     let sources = args.config.sources()?;
     let (state, processes) = cmd::block_on(async {
         let http = client::Http::open();
-        let state = follow::in_force(&http, sources).await?;
+        let state = follow::read_settings(&http, sources).await?;
         let processes = survey::survey(&http, sources.entries).await;
         Ok::<_, cli::CliError>((state, processes))
     })?;
-    let zones = gather(&state, &processes);
+    let zones = summarize(&state, &processes);
     if args.json {
         return cli::out::json(&zones);
     }
@@ -184,8 +186,8 @@
     cli::out::print(&table.to_string())
 }
 
-/// The zones that the settings name and those that processes are in.
-fn gather(state: &settings::State, processes: &[survey::Process]) -> Vec<Zone> {
+/// Returns the zones in the settings and those of the processes, by name.
+fn summarize(state: &settings::State, processes: &[survey::Process]) -> Vec<Zone> {
     let mut zones: collections::BTreeMap<SmolStr, Zone> = collections::BTreeMap::new();
     for name in state.settings().zones.keys() {
         zones.entry(name.clone()).or_default();
--- a/tests/cli/fake_entry.rs
+++ b/tests/cli/fake_entry.rs
@@ -1,4 +1,4 @@
-//! An entry that mints tickets and answers as it is told.
+//! Fake entry that issues tickets and gives configured answers.
 
 use std::sync;
 
@@ -11,25 +11,25 @@
 use smol_str::SmolStr;
 use smol_str::format_smolstr;
 
-/// What becomes of a submission.
+/// Response of the fake to a submission.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Behaviour {
-    /// A final answer with this code.
+    /// Sends a final answer with this code.
     Answer(codes::Code),
-    /// An answer that is not final, always.
+    /// Sends an answer that is never final.
     Pending,
-    /// The connection breaks after the submission was read.
-    Lose,
+    /// Breaks the connection after reading the submission.
+    DropConnection,
 }
 
-/// One call that was made.
+/// Received call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// Method and path.
+    /// Method and path, with the query.
     pub line: String,
-    /// The bearer token's header.
+    /// Value of the `Authorization` header.
     pub authorization: String,
-    /// The JSON body, or null.
+    /// JSON body, or null.
     pub body: serde_json::Value,
 }
 
@@ -41,7 +41,7 @@
     calls: sync::Arc<sync::Mutex<Vec<Call>>>,
 }
 
-/// A running fake.
+/// Running fake entry.
 #[derive(Debug)]
 pub struct FakeEntry {
     server: server::Server,
@@ -49,13 +49,13 @@
 }
 
 impl FakeEntry {
-    /// Listens; needs a running actix system.
+    /// Starts to listen on a free port; needs a running actix system.
     pub fn start(name: &str, behaviour: Behaviour) -> Self {
-        Self::start_beside(name, behaviour, None)
+        Self::start_with_silent_entry(name, behaviour, None)
     }
 
-    /// The same, naming another entry that does not answer.
-    pub fn start_beside(name: &str, behaviour: Behaviour, silent: Option<&str>) -> Self {
+    /// Starts with a peer entry in its status that does not answer, at address `silent`.
+    pub fn start_with_silent_entry(name: &str, behaviour: Behaviour, silent: Option<&str>) -> Self {
         let shared = Shared {
             name: SmolStr::new(name),
             behaviour,
@@ -71,18 +71,18 @@
         Self { server, shared }
     }
 
-    /// Where it listens.
+    /// Returns the address on which the fake listens.
     pub fn address(&self) -> String {
         self.server.address().to_string()
     }
 
-    /// The calls so far, in order.
+    /// Returns the received calls in order.
     pub fn calls(&self) -> Vec<Call> {
         self.shared.calls.lock().unwrap().clone()
     }
 
-    /// Calls whose line starts so.
-    pub fn calls_of(&self, start: &str) -> Vec<Call> {
+    /// Returns the received calls whose line starts with `start`.
+    pub fn calls_starting_with(&self, start: &str) -> Vec<Call> {
         let calls = self.calls().into_iter();
         calls.filter(|call| call.line.starts_with(start)).collect()
     }
@@ -142,23 +142,23 @@
         match self.behaviour {
             Behaviour::Answer(code) => reply(&answer(code, id)),
             Behaviour::Pending => reply(&answer(codes::Code::Pending, id)),
-            Behaviour::Lose => {
-                let broken = std::io::Error::other("broken on purpose");
-                let body = stream::once(async { Err::<web::Bytes, _>(broken) });
+            Behaviour::DropConnection => {
+                let drop_error = std::io::Error::other("connection dropped by the fake entry");
+                let body = stream::once(async { Err::<web::Bytes, _>(drop_error) });
                 actix_web::HttpResponse::Ok().streaming(body)
             }
         }
     }
 
     fn status(&self) -> api::Status {
-        let runner = peer("runner", "runner-1", super::workdir::NOBODY);
+        let runner = peer("runner", "runner-1", super::workdir::UNUSED_ADDRESS);
         let entry = self.silent_entry.as_ref();
         let entry = entry.map(|address| peer("entry", "e2", address));
         api::Status {
             leader: Some(self.name.clone()),
             role: SmolStr::new("entry"),
             name: self.name.clone(),
-            incarnation: format_smolstr!("life-of-{}", self.name),
+            incarnation: format_smolstr!("incarnation-of-{}", self.name),
             zone: SmolStr::new("Caxias"),
             leaving: false,
             revision: Some(7),
@@ -173,7 +173,7 @@
     }
 }
 
-/// A process that is silent, as its peers show it.
+/// Returns the status of a silent process, as its peers report it.
 fn peer(role: &str, name: &str, address: &str) -> api::PeerStatus {
     api::PeerStatus {
         role: SmolStr::new(role),
--- a/tests/cli/fake_log.rs
+++ b/tests/cli/fake_log.rs
@@ -1,8 +1,8 @@
-//! The stand-in log service beside a test.
+//! Stand-in log service for tests.
 
 use bulrushtiller_standins::log_service;
 
-/// Starts a log whose appends take no time; needs a running actix system.
+/// Starts a log service without append latency; needs a running actix system.
 pub fn start() -> log_service::LogService {
     let options = log_service::Options {
         append_ms: 0,
--- a/tests/cli/main.rs
+++ b/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The tool as a process: its output, its exit status, and what it calls.
+//! Runs the tool as a process and checks its output, exit status and calls.
 
 mod workdir;
 
@@ -9,10 +9,10 @@
 mod test_cancel;
 mod test_config_change;
 mod test_config_check;
+mod test_config_sources;
 mod test_fetch;
 mod test_help;
 mod test_load;
-mod test_settings;
 mod test_status;
 mod test_submit;
 mod test_token;
--- a/tests/cli/test_audit.rs
+++ b/tests/cli/test_audit.rs
@@ -1,4 +1,4 @@
-//! `audit`.
+//! Tests of `audit`.
 
 use std::io;
 use std::io::BufRead as _;
@@ -10,7 +10,7 @@
 use super::fake_log;
 use super::workdir;
 
-async fn two_changes(dir: &workdir::Workdir) -> log_service::LogService {
+async fn log_with_two_changes(dir: &workdir::Workdir) -> log_service::LogService {
     let log = fake_log::start();
     let address = log.address().to_string();
     dir.create("good.toml", "[policy]\nramp_ms = 2000\n");
@@ -26,14 +26,14 @@
             author,
         ];
         let run = dir
-            .run_beside(&[&args[..], &["--log", &address]].concat())
+            .run_async(&[&args[..], &["--log", &address]].concat())
             .await;
         assert_eq!(run.status, 0, "{run:?}");
     }
     log
 }
 
-/// Reads one line while this thread serves on.
+/// Reads one line on another thread, so that this one continues to serve calls.
 async fn read_line(pipe: impl io::Read + Send + 'static) -> String {
     let line = actix_rt::task::spawn_blocking(move || {
         let mut line = String::new();
@@ -51,13 +51,13 @@
 #[case::accepted(&["--result", "accepted"], &["10-ana.toml", "10-bruno.toml"])]
 #[case::rejected(&["--result", "rejected"], &[])]
 #[actix_rt::test]
-async fn the_trail_can_be_filtered(#[case] filter: &[&str], #[case] files: &[&str]) {
+async fn filters_select_events(#[case] filter: &[&str], #[case] files: &[&str]) {
     let dir = workdir::Workdir::new();
-    let log = two_changes(&dir).await;
+    let log = log_with_two_changes(&dir).await;
     let address = log.address().to_string();
 
     let args = [&["audit", "--json", "--log", &address], filter].concat();
-    let run = dir.run_beside(&args).await;
+    let run = dir.run_async(&args).await;
 
     let lines = run
         .stdout
@@ -73,12 +73,12 @@
 }
 
 #[actix_rt::test]
-async fn people_read_who_changed_what() {
+async fn text_shows_author_file_and_changed_keys() {
     let dir = workdir::Workdir::new();
-    let log = two_changes(&dir).await;
+    let log = log_with_two_changes(&dir).await;
     let address = log.address().to_string();
 
-    let run = dir.run_beside(&["audit", "--log", &address]).await;
+    let run = dir.run_async(&["audit", "--log", &address]).await;
 
     assert!(
         run.stdout.contains("  ana  put 10-ana.toml  accepted\n"),
@@ -91,12 +91,12 @@
     );
 }
 
-/// An operator follows the trail while the log goes down and comes back; the next change
-/// must appear without starting the command again.
+/// Guards against `--follow` ending or missing changes when the log goes down and comes back:
+/// the next change must be printed without a restart of the command.
 #[actix_rt::test]
-async fn following_goes_on_after_an_outage() {
+async fn follow_continues_after_log_outage() {
     let dir = workdir::Workdir::new();
-    let log = two_changes(&dir).await;
+    let log = log_with_two_changes(&dir).await;
     let address = log.address().to_string();
     let mut command = dir.command(&[
         "audit", "--follow", "--json", "--from", "2", "--log", &address,
@@ -109,7 +109,7 @@
     let stdout = child.stdout.take().unwrap();
 
     log.set_mode(log_service::Mode::Down);
-    let told = read_line(stderr).await;
+    let stderr_line = read_line(stderr).await;
     log.set_mode(log_service::Mode::Up);
     let put = [
         "config",
@@ -120,11 +120,11 @@
         "--log",
         &address,
     ];
-    dir.run_beside(&put).await;
+    dir.run_async(&put).await;
     let line = read_line(stdout).await;
     child.kill().unwrap();
     child.wait().unwrap();
 
-    assert!(told.contains("is not available"), "{told}");
+    assert!(stderr_line.contains("is not available"), "{stderr_line}");
     assert!(line.contains("30-c.toml"), "{line}");
 }
--- a/tests/cli/test_cancel.rs
+++ b/tests/cli/test_cancel.rs
@@ -1,4 +1,4 @@
-//! `cancel`.
+//! Tests of `cancel`.
 
 use bulrushtiller::codes;
 use rstest::rstest;
@@ -10,14 +10,14 @@
 #[case::one(&["own-1"], "DELETE /v1/submissions/own-1")]
 #[case::many(&["own-1", "own-2"], "POST /v1/cancel")]
 #[actix_rt::test]
-async fn a_cancelled_submission_is_a_success(#[case] ids: &[&str], #[case] line: &str) {
+async fn cancelled_submissions_exit_with_success(#[case] ids: &[&str], #[case] line: &str) {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
     let dir = workdir::Workdir::new();
     let address = entry.address();
-    let more = ["--entries", &address, "--token", workdir::TOKEN, "--json"];
+    let options = ["--entries", &address, "--token", workdir::TOKEN, "--json"];
 
-    let run = dir.run_beside(&[&["cancel"], ids, &more].concat()).await;
+    let run = dir.run_async(&[&["cancel"], ids, &options].concat()).await;
 
     assert_eq!(run.status, 0, "{run:?}");
     assert_eq!(run.json().as_array().unwrap().len(), ids.len());
--- a/tests/cli/test_config_change.rs
+++ b/tests/cli/test_config_change.rs
@@ -1,4 +1,4 @@
-//! `config put|remove|sync|show|diff` against a log.
+//! Tests of `config put|remove|sync|show|diff` against a log service.
 
 use std::net;
 
@@ -8,17 +8,18 @@
 use super::fake_log;
 use super::workdir;
 
-const GOOD: &str = "[policy]\nramp_ms = 2000\n";
+const VALID: &str = "[policy]\nramp_ms = 2000\n";
 
-struct Bench {
+/// Working directory with a valid and an invalid settings file, and a log service.
+struct Fixture {
     dir: workdir::Workdir,
     log: log_service::LogService,
 }
 
-impl Bench {
+impl Fixture {
     fn start() -> Self {
         let dir = workdir::Workdir::new();
-        dir.create("good.toml", GOOD);
+        dir.create("good.toml", VALID);
         dir.create("bad.toml", "[policy]\nramp_ms = true\n");
         Self {
             dir,
@@ -29,18 +30,18 @@
     async fn config(&self, args: &[&str]) -> workdir::Run {
         let address = self.log.address().to_string();
         self.dir
-            .run_beside(&[&["config"], args, &["--log", &address]].concat())
+            .run_async(&[&["config"], args, &["--log", &address]].concat())
             .await
     }
 }
 
 #[actix_rt::test]
-async fn a_good_file_is_accepted_and_in_force() {
-    let bench = Bench::start();
+async fn valid_file_is_accepted_and_in_force() {
+    let fixture = Fixture::start();
 
-    let put = bench.config(&["put", "good.toml"]).await;
-    let show = bench.config(&["show"]).await;
-    let file = bench.config(&["show", "--file", "good.toml"]).await;
+    let put = fixture.config(&["put", "good.toml"]).await;
+    let show = fixture.config(&["show"]).await;
+    let file = fixture.config(&["show", "--file", "good.toml"]).await;
 
     assert_eq!(put.status, 0, "{put:?}");
     assert!(
@@ -52,14 +53,14 @@
         show.stdout,
         "# revision 0\n# file good.toml\npolicy.ramp_ms = 2000\n"
     );
-    assert_eq!(file.stdout, GOOD);
+    assert_eq!(file.stdout, VALID);
 }
 
 #[actix_rt::test]
-async fn a_bad_file_is_refused_with_its_line_and_not_published() {
-    let bench = Bench::start();
+async fn invalid_file_is_rejected_with_line_and_not_published() {
+    let fixture = Fixture::start();
 
-    let run = bench.config(&["put", "bad.toml"]).await;
+    let run = fixture.config(&["put", "bad.toml"]).await;
 
     assert_eq!(run.status, 6, "{run:?}");
     assert!(
@@ -67,18 +68,19 @@
         "{run:?}"
     );
     assert!(run.stdout.contains("bad.toml:2: "), "{run:?}");
-    assert_eq!(bench.log.report().appends, 0);
+    assert_eq!(fixture.log.report().appends, 0);
 }
 
-/// Two operators start from the same revision. The first change is accepted; the second
-/// names the revision it was made on and must be told, or it would undo the first
-/// without either noticing.
+/// Guards against lost updates: two operators make a change based on the same revision, and the
+/// second one would silently undo the first if it were accepted.
 #[actix_rt::test]
-async fn the_second_of_two_racing_operators_is_told() {
-    let bench = Bench::start();
+async fn second_change_on_same_base_is_rejected() {
+    let fixture = Fixture::start();
 
-    let first = bench.config(&["put", "good.toml", "--base", "none"]).await;
-    let second = bench
+    let first = fixture
+        .config(&["put", "good.toml", "--base", "none"])
+        .await;
+    let second = fixture
         .config(&["put", "good.toml", "--base", "none", "--json"])
         .await;
 
@@ -87,45 +89,45 @@
     assert_eq!(second.json()["changes"][0]["code"], 504);
 }
 
-/// The log's answers are lost after the append took effect. The operator's change must
-/// be reported as accepted once, at the revision it has, and not made twice.
+/// Guards against a duplicate append when the log's answer is lost after the append took
+/// effect: the change must be made once and be reported as accepted at its revision.
 #[actix_rt::test]
-async fn a_lost_answer_to_an_append_is_found_on_the_log() {
-    let bench = Bench::start();
-    bench.log.set_mode(log_service::Mode::LoseAnswers);
+async fn append_with_lost_answer_is_reported_as_accepted_once() {
+    let fixture = Fixture::start();
+    fixture.log.set_mode(log_service::Mode::LoseAnswers);
 
-    let run = bench.config(&["put", "good.toml"]).await;
+    let run = fixture.config(&["put", "good.toml"]).await;
 
     assert_eq!(run.status, 0, "{run:?}");
     assert!(run.stdout.contains("accepted at revision 0"), "{run:?}");
-    assert_eq!(bench.log.report().appends, 1);
+    assert_eq!(fixture.log.report().appends, 1);
 }
 
-/// An operator repeats a command whose end was not seen, with the id that it printed.
-/// The change had been made: it must not be made again over what came after it.
+/// Guards against a change being made twice when an operator repeats a command whose result is
+/// unknown, with the id that it printed: the repeat must not overwrite later changes.
 #[actix_rt::test]
-async fn a_repeat_under_the_same_id_changes_nothing() {
-    let bench = Bench::start();
-    bench
+async fn repeat_with_same_id_changes_nothing() {
+    let fixture = Fixture::start();
+    fixture
         .config(&["put", "good.toml", "--id", "change-1"])
         .await;
-    bench.config(&["remove", "good.toml"]).await;
+    fixture.config(&["remove", "good.toml"]).await;
 
-    let run = bench
+    let run = fixture
         .config(&["put", "good.toml", "--id", "change-1", "--json"])
         .await;
 
     assert_eq!(run.json()["changes"][0]["result"], "repeated", "{run:?}");
     assert_eq!(run.json()["changes"][0]["revision"], 0);
-    assert_eq!(bench.log.report().appends, 2);
+    assert_eq!(fixture.log.report().appends, 2);
 }
 
 #[actix_rt::test]
-async fn a_log_that_is_down_is_told_within_the_limit() {
-    let bench = Bench::start();
-    bench.log.set_mode(log_service::Mode::Down);
+async fn log_outage_is_reported_within_time_limit() {
+    let fixture = Fixture::start();
+    fixture.log.set_mode(log_service::Mode::Down);
 
-    let run = bench
+    let run = fixture
         .config(&["put", "good.toml", "--limit-ms", "100"])
         .await;
 
@@ -134,19 +136,19 @@
 }
 
 #[actix_rt::test]
-async fn sync_makes_the_folders_equal() {
-    let bench = Bench::start();
-    bench
+async fn sync_makes_folders_equal() {
+    let fixture = Fixture::start();
+    fixture
         .config(&["put", "good.toml", "--name", "90-old.toml"])
         .await;
-    bench.dir.create("folder/10-a.toml", GOOD);
-    bench
+    fixture.dir.create("folder/10-a.toml", VALID);
+    fixture
         .dir
         .create("folder/20-b.toml", "[teams.taipa]\nweight = 2\n");
 
-    let before = bench.config(&["diff", "folder"]).await;
-    let sync = bench.config(&["sync", "folder"]).await;
-    let after = bench.config(&["diff", "folder"]).await;
+    let before = fixture.config(&["diff", "folder"]).await;
+    let sync = fixture.config(&["sync", "folder"]).await;
+    let after = fixture.config(&["diff", "folder"]).await;
 
     assert!(
         before
@@ -159,14 +161,16 @@
 }
 
 #[actix_rt::test]
-async fn diff_ends_with_another_status_only_when_asked() {
-    let bench = Bench::start();
-    bench.dir.create("folder/10-a.toml", GOOD);
+async fn diff_fails_on_differences_only_with_check() {
+    let fixture = Fixture::start();
+    fixture.dir.create("folder/10-a.toml", VALID);
 
-    let plain = bench.config(&["diff", "folder"]).await;
-    let before = bench.config(&["diff", "folder", "--check", "--json"]).await;
-    bench.config(&["sync", "folder"]).await;
-    let after = bench.config(&["diff", "folder", "--check"]).await;
+    let plain = fixture.config(&["diff", "folder"]).await;
+    let before = fixture
+        .config(&["diff", "folder", "--check", "--json"])
+        .await;
+    fixture.config(&["sync", "folder"]).await;
+    let after = fixture.config(&["diff", "folder", "--check"]).await;
 
     assert_eq!(plain.status, 0, "{plain:?}");
     assert_eq!(before.status, 1, "{before:?}");
@@ -175,13 +179,13 @@
 }
 
 #[actix_rt::test]
-async fn sync_removes_everything_only_when_told() {
-    let bench = Bench::start();
-    bench.config(&["put", "good.toml"]).await;
-    bench.dir.create("empty/notes.txt", "");
+async fn sync_of_empty_folder_requires_allow_empty() {
+    let fixture = Fixture::start();
+    fixture.config(&["put", "good.toml"]).await;
+    fixture.dir.create("empty/notes.txt", "");
 
-    let refused = bench.config(&["sync", "empty"]).await;
-    let allowed = bench.config(&["sync", "empty", "--allow-empty"]).await;
+    let refused = fixture.config(&["sync", "empty"]).await;
+    let allowed = fixture.config(&["sync", "empty", "--allow-empty"]).await;
 
     assert_eq!(refused.status, 2, "{refused:?}");
     assert!(
@@ -191,31 +195,37 @@
 }
 
 #[actix_rt::test]
-async fn a_file_that_is_not_there_can_not_be_removed() {
-    let bench = Bench::start();
+async fn remove_of_missing_file_is_rejected() {
+    let fixture = Fixture::start();
 
-    let run = bench.config(&["remove", "good.toml"]).await;
+    let run = fixture.config(&["remove", "good.toml"]).await;
 
     assert_eq!(run.status, 6, "{run:?}");
     assert!(run.stdout.contains("508"), "{run:?}");
 }
 
-/// Guards against an operator who can change nothing over a way that carries little.
+/// Guards against a time-out of large settings on a slow link, after which an operator could
+/// change nothing: a long answer is read as long as its chunks keep arriving.
 #[actix_rt::test]
-async fn settings_that_take_long_on_their_way_are_read() {
-    let bench = Bench::start();
-    let noted = "# what operators note beside a limit\n".repeat(1_600) + GOOD;
-    bench.dir.create("good.toml", &noted);
-    bench.config(&["put", "good.toml"]).await;
-    let near = net::SocketAddr::from(([127, 0, 0, 1], 0));
-    let relay = relay::Relay::start(near, bench.log.address()).await;
-    let relay = relay.expect("a relay");
+async fn large_settings_are_read_over_slow_link() {
+    let fixture = Fixture::start();
+    let large_text = "# notes of an operator about a limit\n".repeat(1_600) + VALID;
+    fixture.dir.create("good.toml", &large_text);
+    fixture.config(&["put", "good.toml"]).await;
+    let listen = net::SocketAddr::from(([127, 0, 0, 1], 0));
+    let relay = relay::Relay::start(listen, fixture.log.address()).await;
+    let relay = relay.expect("the relay starts");
     let bytes_per_s = 12 << 10;
     relay.set(relay::Behaviour::Pace { bytes_per_s });
 
     let address = relay.address().to_string();
     let show = ["config", "show", "--file", "good.toml", "--log", &address];
-    let show = bench.dir.run_beside(&show).await;
+    let show = fixture.dir.run_async(&show).await;
 
-    assert_eq!((show.status, show.stdout), (0, noted), "{}", show.stderr);
+    assert_eq!(
+        (show.status, show.stdout),
+        (0, large_text),
+        "{}",
+        show.stderr
+    );
 }
