--- a/tests/cli/test_config_check.rs
+++ b/tests/cli/test_config_check.rs
@@ -1,4 +1,4 @@
-//! `config check`.
+//! Tests of `config check`.
 
 use std::fs;
 use std::os::unix;
@@ -8,7 +8,7 @@
 use super::workdir;
 
 #[test]
-fn a_good_folder_is_good() {
+fn valid_folder_has_no_problems() {
     let dir = workdir::Workdir::new();
     dir.create("good/10-teams.toml", "[teams.taipa]\nweight = 3\n");
     dir.create("good/20-policy.toml", "[policy]\nramp_ms = 2000\n");
@@ -28,7 +28,7 @@
 #[case::wrong_type("10-a.toml", "[policy]\nramp_ms = \"1\"\n", 502, 2)]
 #[case::impossible("10-a.toml", "[teams.t]\nweight = 0\n", 503, 2)]
 #[case::name("A.toml", "[policy]\n", 507, 0)]
-fn each_problem_has_its_number_and_line(
+fn problem_has_code_and_line(
     #[case] file: &str,
     #[case] text: &str,
     #[case] code: u16,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_folder_that_is_not_there_is_told() {
+fn missing_folder_is_reported() {
     let dir = workdir::Workdir::new();
 
     let run = dir.run(&["config", "check", "none"]);
@@ -60,11 +60,11 @@
     assert!(run.stderr.contains("603: none"), "{run:?}");
 }
 
-/// An operator mends a folder on a bad night. One file was saved as Latin-1, another is
-/// a link to nothing, a third is no TOML. Each of them alone would hide the rest, and a
-/// link passed over would look like a file that was removed.
+/// Guards against one invalid file hiding the problems of others: a file in Latin-1, a dangling
+/// link or invalid TOML each stops the check of the whole folder, and an ignored link would
+/// look like a removed file.
 #[test]
-fn no_bad_file_hides_another() {
+fn invalid_files_do_not_hide_each_other() {
     let dir = workdir::Workdir::new();
     let latin = dir.create("bad/10-latin.toml", "");
     fs::write(latin, b"[policy]\n# cami\xf3n\nramp_ms = 1\n").unwrap();
@@ -97,17 +97,17 @@
     );
 }
 
-/// The folder has a link to nothing in place of a file that is in force. Passed over, it
-/// would look removed, and `sync` would take its keys out of force without a word.
+/// Guards against `sync` silently removing keys in force: a dangling link in place of a file
+/// that is in force would look like a removed file if it were ignored.
 #[test]
-fn sync_refuses_a_folder_that_it_can_not_read_whole() {
+fn sync_rejects_folder_with_unreadable_file() {
     let dir = workdir::Workdir::new();
     dir.create("folder/10-a.toml", "[policy]\nramp_ms = 2000\n");
     let link = dir.create("folder/20-teams.toml", "");
     fs::remove_file(&link).unwrap();
     unix::fs::symlink("nowhere", &link).unwrap();
 
-    let run = dir.run(&["config", "sync", "folder", "--log", workdir::NOBODY]);
+    let run = dir.run(&["config", "sync", "folder", "--log", workdir::UNUSED_ADDRESS]);
 
     assert_eq!(run.status, 7, "{run:?}");
     assert!(run.stderr.contains("20-teams.toml: No such"), "{run:?}");
--- a/tests/cli/test_fetch.rs
+++ b/tests/cli/test_fetch.rs
@@ -1,4 +1,4 @@
-//! `fetch`.
+//! Tests of `fetch`.
 
 use bulrushtiller::codes;
 
@@ -6,11 +6,11 @@
 use super::workdir;
 
 #[actix_rt::test]
-async fn the_id_is_encoded_and_the_next_entry_tried() {
+async fn id_is_percent_encoded_and_next_entry_is_called() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
     let dir = workdir::Workdir::new();
-    let entries = format!("{},{}", workdir::NOBODY, entry.address());
+    let entries = format!("{},{}", workdir::UNUSED_ADDRESS, entry.address());
 
     let args = [
         "fetch",
@@ -20,7 +20,7 @@
         "--token",
         workdir::TOKEN,
     ];
-    let run = dir.run_beside(&args).await;
+    let run = dir.run_async(&args).await;
 
     assert_eq!(run.status, 0, "{run:?}");
     assert_eq!(
--- a/tests/cli/test_help.rs
+++ b/tests/cli/test_help.rs
@@ -1,4 +1,4 @@
-//! Help, unknown commands and options, and a reader that goes away.
+//! Tests of the help, of invalid command lines and of a closed output pipe.
 
 use std::io::Read as _;
 use std::process;
@@ -38,11 +38,11 @@
 }
 
 #[rstest]
-#[case::nothing(&[], "a command is needed")]
+#[case::nothing(&[], "a command is required")]
 #[case::command(&["sbumit"], "there is no command 'sbumit'")]
 #[case::action(&["config", "psuh"], "there is no command 'psuh'")]
 #[case::zone_action(&["zone", "off", "Caxias"], "there is no command 'off'")]
-#[case::token_action(&["token", "mint"], "'hash' is the only action")]
+#[case::token_action(&["token", "mint"], "the only action is 'hash'")]
 #[case::option(&["status", "--jsn"], "option --jsn is unknown")]
 #[case::repeated(&["status", "--json", "--json"], "option --json is unknown, repeated")]
 #[case::argument(&["status", "now"], "unexpected argument 'now'")]
@@ -60,9 +60,9 @@
 #[case::bad_zone(&["zone", "out", "a b"], "is not a name")]
 #[case::wait_or_not(&["zone", "out", "a", "--wait", "--no-wait"], "exclude each other")]
 #[case::bad_result(&["audit", "--result", "maybe"], "'maybe' is not")]
-#[case::bad_mix(&["load", "--mix", "short=9..1"], "no mix")]
-#[case::bad_rate(&["load", "--rate", "NaN"], "--rate is 0.001 to")]
-fn a_wrong_command_line_is_told(#[case] args: &[&str], #[case] complaint: &str) {
+#[case::bad_mix(&["load", "--mix", "short=9..1"], "not a mix")]
+#[case::bad_rate(&["load", "--rate", "NaN"], "--rate must be 0.001 to")]
+fn invalid_command_line_is_reported(#[case] args: &[&str], #[case] message: &str) {
     let dir = workdir::Workdir::new();
 
     let run = dir.run(args);
@@ -73,14 +73,13 @@
         "{run:?}"
     );
     assert!(run.stderr.starts_with("bulrushtiller: 600: "), "{run:?}");
-    assert!(run.stderr.contains(complaint), "{run:?}");
+    assert!(run.stderr.contains(message), "{run:?}");
 }
 
-/// A user pipes the output into `head`: the reader closes the pipe while the tool
-/// still writes. The write fails with EPIPE, which is no fault of the tool, and a
-/// message or a panic about it would stand in every script's log.
+/// Guards against a message or a panic when the output is piped into `head`, which closes the
+/// pipe while the tool still writes: the write fails with EPIPE, which is not an error here.
 #[test]
-fn a_reader_that_goes_away_is_no_error() {
+fn closed_output_pipe_is_not_an_error() {
     let dir = workdir::Workdir::new();
     let keys: Vec<String> = (0..3000)
         .map(|n| {
@@ -105,7 +104,7 @@
     assert_eq!(String::from_utf8_lossy(&output.stderr), "");
 }
 
-/// Commands of the tool's own help, in order.
+/// Returns the commands in the help of the tool, in order.
 fn commands(help: &str) -> Vec<String> {
     let after = help.split("Callers:").nth(1).unwrap();
     let listed = after.split("Exit status").next().unwrap();
@@ -115,7 +114,7 @@
 }
 
 #[test]
-fn page_has_every_command() {
+fn page_documents_every_command() {
     const PAGE: &str = include_str!("../../docs/TOOL.md");
     let dir = workdir::Workdir::new();
 
--- a/tests/cli/test_load.rs
+++ b/tests/cli/test_load.rs
@@ -1,4 +1,4 @@
-//! `load`, and the pure parts that it is made of.
+//! Tests of `load` and of its plan, tally and counters.
 
 use std::time;
 
@@ -22,9 +22,9 @@
     }
 }
 
-fn sample(end: tally::End, response_ms: u64) -> tally::Sample {
+fn sample(outcome: tally::Outcome, response_ms: u64) -> tally::Sample {
     tally::Sample {
-        end,
+        outcome,
         response: time::Duration::from_millis(response_ms),
         ideal_ms: 100,
         work_ms: 400,
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_seed_alone_decides_the_arrivals() {
+fn arrivals_depend_on_seed_only() {
     let first: Vec<_> = plan(7).arrivals().collect();
     let again: Vec<_> = plan(7).arrivals().collect();
     let other: Vec<_> = plan(8).arrivals().collect();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_rate_and_the_mix_are_kept() {
+fn arrivals_match_rate_and_mix() {
     let arrivals: Vec<_> = plan(1).arrivals().collect();
 
     let tasks: Vec<_> = arrivals.iter().flat_map(|arrival| &arrival.tasks).collect();
@@ -62,15 +62,21 @@
 }
 
 #[test]
-fn only_complete_jobs_count_as_work_done() {
+fn only_complete_jobs_count_as_completed_work() {
     let mut tally = tally::Tally::default();
-    tally.add(&sample(tally::End::Answered(codes::Code::Complete), 150));
-    tally.add(&sample(tally::End::Answered(codes::Code::TaskFailed), 50));
     tally.add(&sample(
-        tally::End::Unanswered(codes::Code::TimedOut),
+        tally::Outcome::Answered(codes::Code::Complete),
+        150,
+    ));
+    tally.add(&sample(
+        tally::Outcome::Answered(codes::Code::TaskFailed),
+        50,
+    ));
+    tally.add(&sample(
+        tally::Outcome::Unanswered(codes::Code::TimedOut),
         9_000,
     ));
-    tally.add(&sample(tally::End::NotSent, 0));
+    tally.add(&sample(tally::Outcome::NotSent, 0));
 
     let report = tally.report(time::Duration::from_secs(1), Some(2));
 
@@ -83,7 +89,7 @@
 }
 
 #[test]
-fn counters_are_summed_over_labels_and_told_from_longer_names() {
+fn counters_are_summed_over_labels_and_exclude_longer_names() {
     let before = counters::Counters::default();
     let text = "# TYPE bulrushtiller_wasted_messages counter\n\
         bulrushtiller_wasted_messages_total{why=\"full\"} 3\n\
@@ -100,7 +106,7 @@
 }
 
 #[actix_rt::test]
-async fn prints_what_callers_received() {
+async fn report_counts_answers_of_all_jobs() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
     let dir = workdir::Workdir::new();
@@ -116,9 +122,9 @@
     ];
 
     let args = ["load", "--entries", &address, "--token", workdir::TOKEN];
-    let run = dir.run_beside(&[&args[..], &rest].concat()).await;
+    let run = dir.run_async(&[&args[..], &rest].concat()).await;
 
-    let jobs = entry.calls_of("POST /v1/jobs").len() as u64;
+    let jobs = entry.calls_starting_with("POST /v1/jobs").len() as u64;
     let report = run.json();
     assert_eq!(run.status, 0, "{run:?}");
     assert!(jobs > 0);
@@ -130,25 +136,28 @@
 }
 
 #[test]
-fn a_load_without_any_answer_is_a_failure() {
+fn load_without_any_answer_fails() {
     let dir = workdir::Workdir::new();
     let rest = ["--rate", "50", "--seconds", "0.2", "--deadline-ms", "50"];
 
     let args = [
         "load",
         "--entries",
-        workdir::NOBODY,
+        workdir::UNUSED_ADDRESS,
         "--token",
         workdir::TOKEN,
     ];
     let run = dir.run(&[&args[..], &rest].concat());
 
     assert_eq!(run.status, 7, "{run:?}");
-    assert!(run.stderr.contains("no job got a final answer"), "{run:?}");
+    assert!(
+        run.stderr.contains("no job received a final answer"),
+        "{run:?}"
+    );
 }
 
 #[test]
-fn what_was_sent_on_is_counted_since_the_load_began() {
+fn submissions_sent_on_are_counted_since_start() {
     let before = counters::Counters::parse("bulrushtiller_passed_on_total 3\n");
     let text = "bulrushtiller_passed_on_total 8\n\
         bulrushtiller_submissions_forwarded_total 2\n";
@@ -158,20 +167,21 @@
     assert_eq!((sent_on.passed_on, sent_on.forwarded), (5.0, 2.0));
 }
 
-/// A share of nothing would be printed as infinity, and as null in JSON.
+/// Guards against a goodput of infinity, which JSON shows as null: it is divided by the slots.
 #[test]
-fn no_slots_at_all_are_refused() {
+fn zero_slots_are_rejected() {
     let dir = workdir::Workdir::new();
 
     let run = dir.run(&["load", "--slots", "0"]);
 
     assert_eq!(run.status, 2, "{run:?}");
-    assert!(run.stderr.contains("--slots is at least 1"), "{run:?}");
+    assert!(run.stderr.contains("--slots must be at least 1"), "{run:?}");
 }
 
-/// The comparison with a naive dispatcher stands on the driver working with both.
+/// Guards the comparison with the naive dispatcher, which needs the same driver to work with
+/// both.
 #[actix_rt::test]
-async fn naive_dispatcher_serves_the_same_driver() {
+async fn driver_works_with_naive_dispatcher() {
     let worker = worker::Worker::start(worker::Options::default()).unwrap();
     let options = naive::Options {
         workers: vec![worker.address()],
@@ -191,7 +201,7 @@
         "t=1..5",
         "--json",
     ];
-    let run = dir.run_beside(&[&args[..], &rest].concat()).await;
+    let run = dir.run_async(&[&args[..], &rest].concat()).await;
 
     let report = run.json();
     let jobs = report["jobs"].as_u64().unwrap();
--- a/tests/cli/test_status.rs
+++ b/tests/cli/test_status.rs
@@ -1,4 +1,4 @@
-//! `status`.
+//! Tests of `status`.
 
 use bulrushtiller::codes;
 
@@ -6,13 +6,13 @@
 use super::workdir;
 
 #[actix_rt::test]
-async fn shows_what_answers_and_what_is_only_named() {
+async fn answering_and_reported_processes_are_shown() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
     let dir = workdir::Workdir::new();
 
     let run = dir
-        .run_beside(&["status", "--entries", &entry.address()])
+        .run_async(&["status", "--entries", &entry.address()])
         .await;
 
     let rows: Vec<Vec<&str>> = run
@@ -35,11 +35,10 @@
     );
 }
 
-/// An entry listens on two ports, one for callers and one for other processes, and is
-/// given under one and named by its peers under the other. Shown twice, it would look
-/// like two entries.
+/// Guards against an entry being listed twice: it listens on one port for callers, which is
+/// given to the tool, and on another one for processes, which its peers report.
 #[actix_rt::test]
-async fn one_life_under_two_addresses_is_one_process() {
+async fn one_incarnation_at_two_addresses_is_one_process() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let first_port = fake_entry::FakeEntry::start("e1", behaviour);
     let second_port = fake_entry::FakeEntry::start("e1", behaviour);
@@ -47,24 +46,24 @@
 
     let entries = format!("{},{}", first_port.address(), second_port.address());
     let run = dir
-        .run_beside(&["status", "--entries", &entries, "--json"])
+        .run_async(&["status", "--entries", &entries, "--json"])
         .await;
 
     assert_eq!(run.json().as_array().unwrap().len(), 2, "{run:?}");
 }
 
-/// An entry that has died is given by its callers' address and named by its peers with
-/// the other one. Nobody can tell that the two are one, and two rows would have the
-/// operator look for an entry that never was.
+/// Guards against a stopped entry being listed twice: it is given by its address for callers
+/// and reported by its peers with the one for processes. No answer shows that both are one
+/// process, and an operator would look for an entry that does not exist.
 #[actix_rt::test]
-async fn silent_entry_is_shown_once_and_its_given_address_told() {
+async fn silent_entry_is_shown_once_with_its_given_address() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let peers_port = Some("127.0.0.1:7");
-    let entry = fake_entry::FakeEntry::start_beside("e1", behaviour, peers_port);
+    let entry = fake_entry::FakeEntry::start_with_silent_entry("e1", behaviour, peers_port);
     let dir = workdir::Workdir::new();
 
     let entries = format!("{},127.0.0.1:1", entry.address());
-    let run = dir.run_beside(&["status", "--entries", &entries]).await;
+    let run = dir.run_async(&["status", "--entries", &entries]).await;
 
     let silent = run.stdout.lines().filter(|line| line.contains("silent"));
     assert_eq!(run.status, 0, "{run:?}");
@@ -72,16 +71,16 @@
     assert_eq!(silent.count(), 2, "{run:?}");
     assert!(
         run.stderr
-            .contains("e2 does not answer; given as 127.0.0.1:1"),
+            .contains("e2 does not answer; it may have been given as 127.0.0.1:1"),
         "{run:?}"
     );
 }
 
 #[test]
-fn nobody_to_reach_is_shown_and_told() {
+fn unreachable_entries_are_shown_and_reported() {
     let dir = workdir::Workdir::new();
 
-    let run = dir.run(&["status", "--entries", workdir::NOBODY]);
+    let run = dir.run(&["status", "--entries", workdir::UNUSED_ADDRESS]);
 
     assert_eq!(run.status, 7, "{run:?}");
     assert!(run.stdout.contains("unreachable"), "{run:?}");
--- a/tests/cli/test_submit.rs
+++ b/tests/cli/test_submit.rs
@@ -1,4 +1,4 @@
-//! `submit`.
+//! Tests of `submit`.
 
 use bulrushtiller::codes;
 use rstest::rstest;
@@ -6,20 +6,20 @@
 use super::fake_entry;
 use super::workdir;
 
-fn args<'a>(entries: &'a str, more: &[&'a str]) -> Vec<&'a str> {
+fn args<'a>(entries: &'a str, options: &[&'a str]) -> Vec<&'a str> {
     let first = ["submit", "--entries", entries, "--token", workdir::TOKEN];
-    [&first, more].concat()
+    [&first, options].concat()
 }
 
 #[actix_rt::test]
-async fn takes_a_ticket_and_prints_the_complete_answer() {
+async fn ticket_is_taken_and_complete_answer_is_printed() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
     let dir = workdir::Workdir::new();
 
     let address = entry.address();
     let run = dir
-        .run_beside(&args(&address, &["--tasks", "2", "--kind", "fit"]))
+        .run_async(&args(&address, &["--tasks", "2", "--kind", "fit"]))
         .await;
 
     assert_eq!(run.status, 0, "{run:?}");
@@ -43,45 +43,45 @@
 #[case::may_have_run(codes::Code::OwnerGone, 4)]
 #[case::bad_request(codes::Code::TooLarge, 5)]
 #[actix_rt::test]
-async fn the_exit_status_is_that_of_the_result(#[case] code: codes::Code, #[case] status: i32) {
+async fn exit_status_matches_result_code(#[case] code: codes::Code, #[case] status: i32) {
     let entry = fake_entry::FakeEntry::start("e1", fake_entry::Behaviour::Answer(code));
     let dir = workdir::Workdir::new();
 
     let address = entry.address();
     let run = dir
-        .run_beside(&args(&address, &["--request", "--json"]))
+        .run_async(&args(&address, &["--request", "--json"]))
         .await;
 
     assert_eq!(run.status, status, "{run:?}");
     assert_eq!(run.json()["code"], code.number());
-    assert_eq!(entry.calls_of("POST /v1/requests").len(), 1);
+    assert_eq!(entry.calls_starting_with("POST /v1/requests").len(), 1);
 }
 
-/// A caller's job goes to an entry whose connection breaks before the answer comes.
-/// The job may have been taken in, so a new one could run everything twice. The same
-/// ticket goes to the next entry, where it can only attach to the first.
+/// Guards against running a job twice when the connection to the entry breaks before the answer:
+/// the job may have been accepted. The repeat through the next entry must have the same ticket,
+/// so that it attaches to the first submission.
 #[actix_rt::test]
-async fn a_lost_answer_is_asked_for_again_under_the_same_ticket() {
-    let first = fake_entry::FakeEntry::start("e1", fake_entry::Behaviour::Lose);
+async fn call_with_lost_answer_is_repeated_with_same_ticket() {
+    let first = fake_entry::FakeEntry::start("e1", fake_entry::Behaviour::DropConnection);
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let second = fake_entry::FakeEntry::start("e2", behaviour);
     let dir = workdir::Workdir::new();
 
     let addresses = format!("{},{}", first.address(), second.address());
-    let run = dir.run_beside(&args(&addresses, &[])).await;
+    let run = dir.run_async(&args(&addresses, &[])).await;
 
     assert_eq!(run.status, 0, "{run:?}");
-    assert_eq!(first.calls_of("POST /v1/jobs").len(), 1);
-    let repeated = second.calls_of("POST /v1/jobs");
+    assert_eq!(first.calls_starting_with("POST /v1/jobs").len(), 1);
+    let repeated = second.calls_starting_with("POST /v1/jobs");
     assert_eq!(repeated[0].body["submission"], "t:e1:1:1:1");
-    assert_eq!(second.calls_of("POST /v1/tickets"), []);
+    assert_eq!(second.calls_starting_with("POST /v1/tickets"), []);
 }
 
-/// An operator stops an entry between a caller's ticket and its job. The entry refuses
-/// the job for good, so nothing of it can have started, and the caller goes on with a
-/// ticket of another entry instead of reporting a failure.
+/// Guards against a needless failure when an entry is stopped after it issued a ticket: its
+/// refusal is final and no task can have started, so the tool must submit again with a ticket
+/// of another entry.
 #[actix_rt::test]
-async fn a_leaving_entry_is_left_with_a_new_ticket() {
+async fn refusal_by_leaving_entry_is_followed_by_new_ticket() {
     let leaving = fake_entry::Behaviour::Answer(codes::Code::Leaving);
     let first = fake_entry::FakeEntry::start("e1", leaving);
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
@@ -89,32 +89,31 @@
     let dir = workdir::Workdir::new();
 
     let addresses = format!("{},{}", first.address(), second.address());
-    let run = dir.run_beside(&args(&addresses, &[])).await;
+    let run = dir.run_async(&args(&addresses, &[])).await;
 
     assert_eq!(run.status, 0, "{run:?}");
     assert_eq!(
-        second.calls_of("POST /v1/jobs")[0].body["submission"],
+        second.calls_starting_with("POST /v1/jobs")[0].body["submission"],
         "t:e2:1:1:1"
     );
 }
 
-/// Every answer to a job is lost, to the deadline. The caller can't know whether it
-/// ran; the tool has to say so and name the id to ask with, and must not call it
-/// "not run".
+/// Guards against reporting "not run" when every answer to a job is lost until the deadline:
+/// the job may have run. The error must say so and contain the id for `fetch`.
 #[actix_rt::test]
-async fn a_job_without_any_answer_may_have_run() {
-    let entry = fake_entry::FakeEntry::start("e1", fake_entry::Behaviour::Lose);
+async fn job_without_any_answer_may_have_run() {
+    let entry = fake_entry::FakeEntry::start("e1", fake_entry::Behaviour::DropConnection);
     let dir = workdir::Workdir::new();
 
     let address = entry.address();
     let run = dir
-        .run_beside(&args(&address, &["--deadline-ms", "50"]))
+        .run_async(&args(&address, &["--deadline-ms", "50"]))
         .await;
 
     assert_eq!((run.status, run.stdout.as_str()), (7, ""), "{run:?}");
     assert!(
         run.stderr
-            .contains("may have been taken in: 'fetch t:e1:1:1:1'"),
+            .contains("may have been accepted: use 'fetch t:e1:1:1:1'"),
         "{run:?}"
     );
 }
@@ -123,25 +122,25 @@
 #[case::not_awaited(&["--wait-ms", "0"], 0)]
 #[case::awaited_to_the_deadline(&["--deadline-ms", "50"], 7)]
 #[actix_rt::test]
-async fn a_pending_answer_is_an_error_only_where_the_last_was_wanted(
-    #[case] more: &[&str],
+async fn pending_answer_is_an_error_only_at_the_deadline(
+    #[case] options: &[&str],
     #[case] status: i32,
 ) {
     let entry = fake_entry::FakeEntry::start("e1", fake_entry::Behaviour::Pending);
     let dir = workdir::Workdir::new();
 
     let address = entry.address();
-    let run = dir.run_beside(&args(&address, more)).await;
+    let run = dir.run_async(&args(&address, options)).await;
 
     assert_eq!(run.status, status, "{run:?}");
     assert!(run.stdout.contains("t:e1:1:1:1  1 "), "{run:?}");
 }
 
 #[test]
-fn nobody_to_reach_is_the_tools_own_failure() {
+fn unreachable_entries_are_a_failure_of_the_tool() {
     let dir = workdir::Workdir::new();
 
-    let run = dir.run(&args(workdir::NOBODY, &["--deadline-ms", "50"]));
+    let run = dir.run(&args(workdir::UNUSED_ADDRESS, &["--deadline-ms", "50"]));
 
     assert_eq!((run.status, run.stdout.as_str()), (7, ""), "{run:?}");
     assert!(run.stderr.starts_with("bulrushtiller: 601: "), "{run:?}");
@@ -150,29 +149,30 @@
 #[rstest]
 #[case::not_json("{", 5, "400: -")]
 #[case::no_tasks("{\"tasks\": []}", 2, "at least one task")]
-fn a_bad_job_file_is_told(#[case] text: &str, #[case] status: i32, #[case] complaint: &str) {
+fn invalid_job_file_is_reported(#[case] text: &str, #[case] status: i32, #[case] message: &str) {
     let dir = workdir::Workdir::new();
 
-    let run = dir.run_with_input(&args(workdir::NOBODY, &["--file", "-"]), text);
+    let run = dir.run_with_input(&args(workdir::UNUSED_ADDRESS, &["--file", "-"]), text);
 
     assert_eq!(run.status, status, "{run:?}");
-    assert!(run.stderr.contains(complaint), "{run:?}");
+    assert!(run.stderr.contains(message), "{run:?}");
 }
 
-/// A script submits under its own id, the answer is lost, and the next entry can't claim
-/// the id while the log is down. Its refusal speaks of that call only: the first may run.
-/// With the exit status of "not run" the script would submit anew, and it would run twice.
+/// Guards against running a task twice after a refusal that is not final: a script submits with
+/// its own id, the answer is lost, and the next entry can't claim the id while the log is down.
+/// The first call may have been accepted, but with the exit status of "not run" the script
+/// would submit again.
 #[actix_rt::test]
-async fn refusal_that_is_not_the_last_word_does_not_end_as_not_run() {
+async fn refusal_that_is_not_final_does_not_exit_as_not_run() {
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::ClaimUnavailable);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
     let dir = workdir::Workdir::new();
     let address = entry.address();
 
-    let more = ["--submission", "my-own-1", "--deadline-ms", "100"];
-    let run = dir.run_beside(&args(&address, &more)).await;
+    let options = ["--submission", "my-own-1", "--deadline-ms", "100"];
+    let run = dir.run_async(&args(&address, &options)).await;
 
     assert!(run.stdout.contains("106 "), "{run:?}");
     assert_eq!(run.status, 7, "{run:?}");
-    assert!(run.stderr.contains("may have been taken in"), "{run:?}");
+    assert!(run.stderr.contains("may have been accepted"), "{run:?}");
 }
--- a/tests/cli/test_token.rs
+++ b/tests/cli/test_token.rs
@@ -1,4 +1,4 @@
-//! `token hash`.
+//! Tests of `token hash`.
 
 use rstest::rstest;
 
@@ -7,7 +7,7 @@
 const SHA256_OF_ABC: &str = "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad";
 
 #[test]
-fn hashes_the_argument() {
+fn argument_is_hashed() {
     let dir = workdir::Workdir::new();
 
     let run = dir.run(&["token", "hash", "abc"]);
@@ -19,7 +19,7 @@
 #[case::without_line_end("abc")]
 #[case::with_line_end("abc\n")]
 #[case::with_carriage_return("abc\r\n")]
-fn hashes_the_first_line_of_the_input(#[case] input: &str) {
+fn first_line_of_input_is_hashed(#[case] input: &str) {
     let dir = workdir::Workdir::new();
 
     let run = dir.run_with_input(&["token", "hash", "--json"], input);
@@ -31,7 +31,7 @@
 #[case::empty("")]
 #[case::blank("two words")]
 #[case::not_ascii("señal")]
-fn refuses_what_no_header_could_carry(#[case] token: &str) {
+fn token_invalid_in_a_header_is_rejected(#[case] token: &str) {
     let dir = workdir::Workdir::new();
 
     let run = dir.run(&["token", "hash", token]);
--- a/tests/cli/test_zone.rs
+++ b/tests/cli/test_zone.rs
@@ -1,4 +1,4 @@
-//! `zone`.
+//! Tests of `zone`.
 
 use bulrushtiller::codes;
 use bulrushtiller_standins::log_service;
@@ -13,12 +13,12 @@
     args: &[&str],
 ) -> workdir::Run {
     let address = log.address().to_string();
-    dir.run_beside(&[&["zone"], args, &["--log", &address]].concat())
+    dir.run_async(&[&["zone"], args, &["--log", &address]].concat())
         .await
 }
 
 #[actix_rt::test]
-async fn out_and_in_write_the_zones_file() {
+async fn out_and_in_write_the_file_of_the_zone() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
 
     let out = zone(&dir, &log, &["out", "Caxias", "--no-wait"]).await;
@@ -36,10 +36,10 @@
     assert!(list_in.stdout.contains("Caxias  in"), "{list_in:?}");
 }
 
-/// An operator takes a zone out at short notice and one process does not learn of it.
-/// The command must not end as if all were well: it waits, and names who has not.
+/// Guards against a success while one process has not received the change: the command must wait,
+/// then fail and name the process.
 #[actix_rt::test]
-async fn who_does_not_have_it_is_named() {
+async fn process_without_the_change_is_reported() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
@@ -55,7 +55,7 @@
     let args = ["out", "Caxias", "--entries", &address, "--limit-ms", "300"];
     let run = zone(&dir, &log, &args).await;
 
-    // The fake entry says that it has revision 7 and that its runner has 6.
+    // The fake entry reports revision 7 for itself and 6 for its runner.
     assert_eq!(run.status, 7, "{run:?}");
     assert!(run.stdout.contains("accepted at revision 7"), "{run:?}");
     assert!(
@@ -66,30 +66,29 @@
     assert!(!run.stdout.contains("not in force at e1"), "{run:?}");
 }
 
-/// A file with a later name keeps the zone in service. The change is accepted and has no
-/// effect, and the operator, who sees "accepted", would send people into the zone.
+/// Guards against a success without effect: a file with a later name keeps the zone in service,
+/// and an operator who reads "accepted" would send people into the zone.
 #[actix_rt::test]
-async fn a_change_without_effect_is_told() {
+async fn change_without_effect_is_reported() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
     let address = log.address().to_string();
     let later = dir.create("99-zz.toml", "[zones.Caxias]\nout = false\n");
-    dir.run_beside(&["config", "put", later.to_str().unwrap(), "--log", &address])
+    dir.run_async(&["config", "put", later.to_str().unwrap(), "--log", &address])
         .await;
 
     let run = zone(&dir, &log, &["out", "Caxias", "--no-wait"]).await;
 
     assert_eq!(run.status, 6, "{run:?}");
     assert!(
-        run.stderr
-            .contains("a file with a later name says otherwise"),
+        run.stderr.contains("a file with a later name overrides it"),
         "{run:?}"
     );
 }
 
-/// Two zones whose names differ in case only have the same file. To write it for one
-/// would bring the other back into service without a word.
+/// Guards against silently bringing a zone back into service: zones whose names differ only in
+/// case share a file, and writing it for one would drop the other.
 #[actix_rt::test]
-async fn a_file_about_another_zone_is_left_alone() {
+async fn file_about_another_zone_is_not_replaced() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
     zone(&dir, &log, &["out", "Caxias", "--no-wait"]).await;
 
@@ -103,27 +102,27 @@
 }
 
 #[actix_rt::test]
-async fn sync_can_keep_zones_out() {
+async fn sync_with_keep_zones_keeps_zones_out() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
     let address = log.address().to_string();
     dir.create("folder/10-a.toml", "[policy]\nramp_ms = 2000\n");
     zone(&dir, &log, &["out", "Caxias", "--no-wait"]).await;
 
     let sync = ["config", "sync", "folder", "--log", &address];
-    dir.run_beside(&[&sync[..], &["--keep-zones"]].concat())
+    dir.run_async(&[&sync[..], &["--keep-zones"]].concat())
         .await;
     let kept = zone(&dir, &log, &["list"]).await;
-    dir.run_beside(&sync).await;
+    dir.run_async(&sync).await;
     let dropped = zone(&dir, &log, &["list"]).await;
 
     assert!(kept.stdout.contains("Caxias  out"), "{kept:?}");
     assert!(!dropped.stdout.contains("Caxias"), "{dropped:?}");
 }
 
-/// An operator in a hurry mistypes the zone. The change is accepted and in force, and
-/// the zone that was meant goes on; only the tool can tell.
+/// Guards against a mistyped zone going unnoticed: the change is accepted and in force, but the
+/// intended zone stays in service, so the tool must print a warning.
 #[actix_rt::test]
-async fn a_zone_without_any_process_is_told() {
+async fn zone_without_any_process_is_reported() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
@@ -133,17 +132,17 @@
     let mistyped = zone(&dir, &log, &[&["out", "Caxais"], &rest[..]].concat()).await;
     let meant = zone(&dir, &log, &[&["out", "Caxias"], &rest[..]].concat()).await;
 
-    let told = "no process is in an availability zone 'Caxais'";
-    assert!(mistyped.stderr.contains(told), "{mistyped:?}");
+    let warning = "no process is in an availability zone 'Caxais'";
+    assert!(mistyped.stderr.contains(warning), "{mistyped:?}");
     assert_eq!((mistyped.status, meant.status), (0, 0), "{mistyped:?}");
     assert_eq!(meant.stderr, "", "{meant:?}");
 }
 
-/// A `sync` is not in force everywhere in time, and the operator's script repeats it. By
-/// then the folder on the log is equal; the repeat must go on waiting, or the script
-/// believes that all processes have it.
+/// Guards against a premature success when a script repeats a `sync` that did not come into
+/// force everywhere in time: the folder on the log is already equal, but the repeat must still
+/// wait for all processes.
 #[actix_rt::test]
-async fn sync_waits_also_when_nothing_is_left_to_change() {
+async fn sync_waits_without_any_change() {
     let (dir, log) = (workdir::Workdir::new(), fake_log::start());
     let behaviour = fake_entry::Behaviour::Answer(codes::Code::Complete);
     let entry = fake_entry::FakeEntry::start("e1", behaviour);
@@ -156,14 +155,14 @@
     let rest = ["--keep-zones", "--wait", "--limit-ms", "300"];
     let args = [&["config", "sync", "folder"], &at[..], &rest].concat();
 
-    let first = dir.run_beside(&args).await;
-    let repeat = dir.run_beside(&args).await;
+    let first = dir.run_async(&args).await;
+    let repeat = dir.run_async(&args).await;
 
-    // The fake entry says that it has revision 7 and that its runner has 6.
-    let told = "not in force at runner-1 (silent): revision 6";
+    // The fake entry reports revision 7 for itself and 6 for its runner.
+    let warning = "not in force at runner-1 (silent): revision 6";
     assert!(first.stdout.contains("accepted at revision 7"), "{first:?}");
-    assert!(first.stdout.contains(told), "{first:?}");
-    assert!(repeat.stderr.contains("is equal already"), "{repeat:?}");
-    assert!(repeat.stdout.contains(told), "{repeat:?}");
+    assert!(first.stdout.contains(warning), "{first:?}");
+    assert!(repeat.stderr.contains("is already equal"), "{repeat:?}");
+    assert!(repeat.stdout.contains(warning), "{repeat:?}");
     assert_eq!((first.status, repeat.status), (7, 7), "{repeat:?}");
 }
--- a/tests/cli/workdir.rs
+++ b/tests/cli/workdir.rs
@@ -1,35 +1,35 @@
-//! A folder of its own for each test, in which the tool is run.
+//! Temporary working directory in which a test runs the tool.
 
 use std::fs;
 use std::io::Write as _;
 use std::path;
 use std::process;
 
-/// Tokens that the fakes accept need not be real.
+/// Bearer token; the fakes accept any.
 pub const TOKEN: &str = "secret-of-taipa";
 
-/// An address at which nothing listens: the discard port of this machine.
-pub const NOBODY: &str = "127.0.0.1:9";
+/// Address on which nothing listens: the discard port of this machine.
+pub const UNUSED_ADDRESS: &str = "127.0.0.1:9";
 
-/// A temporary folder that is removed with its test.
+/// Temporary directory that is removed at the end of the test.
 #[derive(Debug)]
 pub struct Workdir {
     folder: tempfile::TempDir,
 }
 
-/// What the tool did.
+/// Result of running the tool.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its exit status; -1 when a signal ended it.
+    /// Exit status; -1 if a signal ended the process.
     pub status: i32,
-    /// Its standard output.
+    /// Standard output.
     pub stdout: String,
-    /// Its standard error.
+    /// Standard error.
     pub stderr: String,
 }
 
 impl Run {
-    /// The standard output as JSON.
+    /// Parses the standard output as JSON.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_str(&self.stdout).unwrap_or_else(|err| panic!("{err}: {self:?}"))
     }
@@ -46,14 +46,14 @@
 }
 
 impl Workdir {
-    /// An empty folder.
+    /// Creates an empty directory.
     pub fn new() -> Self {
         Self {
             folder: tempfile::tempdir().unwrap(),
         }
     }
 
-    /// Writes a file, and the folders on the way to it.
+    /// Writes a file and creates its parent directories.
     pub fn create(&self, name: &str, text: &str) -> path::PathBuf {
         let path = self.folder.path().join(name);
         fs::create_dir_all(path.parent().unwrap()).unwrap();
@@ -61,7 +61,7 @@
         path
     }
 
-    /// The tool, to be run in the folder with nothing of the caller's environment.
+    /// Returns a command that runs the tool in the directory, without the environment of the test.
     pub fn command(&self, args: &[&str]) -> process::Command {
         let mut command = process::Command::new(env!("CARGO_BIN_EXE_bulrushtiller"));
         command.current_dir(self.folder.path()).env_clear();
@@ -69,12 +69,12 @@
         command
     }
 
-    /// Runs the tool to its end.
+    /// Runs the tool and waits for it.
     pub fn run(&self, args: &[&str]) -> Run {
         self.command(args).output().unwrap().into()
     }
 
-    /// Runs the tool to its end with something to read.
+    /// Runs the tool with `input` as standard input and waits for it.
     pub fn run_with_input(&self, args: &[&str], input: &str) -> Run {
         let mut command = self.command(args);
         command.stdin(process::Stdio::piped());
@@ -91,8 +91,8 @@
         child.wait_with_output().unwrap().into()
     }
 
-    /// Runs the tool while this thread serves what it calls.
-    pub async fn run_beside(&self, args: &[&str]) -> Run {
+    /// Runs the tool on another thread, so that this one can serve its calls.
+    pub async fn run_async(&self, args: &[&str]) -> Run {
         let mut command = self.command(args);
         let output = actix_rt::task::spawn_blocking(move || command.output());
         output.await.unwrap().unwrap().into()
