--- a/src/leased/dispatch/ejection.rs
+++ b/src/leased/dispatch/ejection.rs
@@ -13,7 +13,7 @@
 
 /// Interval between checks of running tasks, in milliseconds.
 ///
-/// It is short enough for tasks of 60 ms, and costs a twentieth of a check on each tick.
+/// It is short enough for tasks of 60 ms, and costs a twentieth of checking on every tick.
 const CHECK_INTERVAL_MS: u64 = 50;
 
 /// Latency of an order plus that of the report of the end, in milliseconds.
@@ -38,8 +38,8 @@
             messages::RunOutcome::Failed => codes::Code::TaskFailed,
             messages::RunOutcome::Stopped | messages::RunOutcome::NotStarted => return Vec::new(),
         };
-        let end = end_of(&run.placed, run.ran_ms, code);
-        if self.health.record_end(now_ms, key, &end, &self.policy) {
+        let observed = observation(&run.placed, run.ran_ms, code);
+        if self.health.record_end(now_ms, key, &observed, &self.policy) {
             return self.eject(now_ms, key);
         }
         Vec::new()
@@ -57,15 +57,18 @@
                 let age_ms = now_ms.saturating_sub(placed.ordered_ms + ROUND_TRIP_MS);
                 let is_late = !placed.waits && age_ms > placed.expected_ms;
                 if is_late && self.jobs.contains_key(placed.job) {
-                    late.push((key, end_of(placed, age_ms, codes::Code::Pending)));
+                    late.push((key, observation(placed, age_ms, codes::Code::Pending)));
                 }
             }
         }
         let mut to_eject = self
             .health
             .check_running(now_ms, late.iter().copied(), &self.policy);
-        for (key, end) in &late {
-            if self.health.record_running(now_ms, *key, end, &self.policy) {
+        for (key, observed) in &late {
+            if self
+                .health
+                .record_running(now_ms, *key, observed, &self.policy)
+            {
                 to_eject.push(*key);
             }
         }
@@ -103,7 +106,7 @@
     }
 }
 
-fn end_of(placed: &runners::PlacedRun, run_ms: u64, code: codes::Code) -> health::Observation {
+fn observation(placed: &runners::PlacedRun, run_ms: u64, code: codes::Code) -> health::Observation {
     health::Observation {
         attempt: placed.number,
         job: placed.job.data().as_ffi(),
--- a/tests/unit/leased/urgency.rs
+++ b/tests/unit/leased/urgency.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn job_with_the_earliest_latest_start_goes_first() {
+fn job_that_must_start_first_goes_first() {
     let long = urgency::rank(&view(1_000, 900), 1_010);
     let short = urgency::rank(&view(1_005, 60), 1_010);
 
