--- a/src/leased/entry/calls.rs
+++ b/src/leased/entry/calls.rs
@@ -169,17 +169,16 @@
 impl actix::Handler<OrderAnswered> for entry::Control {
     type Result = ();
 
-    fn handle(&mut self, answered: OrderAnswered, cx: &mut Self::Context) {
+    fn handle(&mut self, answer: OrderAnswered, cx: &mut Self::Context) {
         let now_ms = self.now_ms();
-        let actions = match answered.response {
-            Ok(reply) => {
-                self.dispatcher
-                    .order_answered(now_ms, answered.key, &answered.order, reply)
-            }
+        let actions = match answer.response {
+            Ok(reply) => self
+                .dispatcher
+                .order_answered(now_ms, answer.key, &answer.order, reply),
             Err(e) => {
                 let is_unsent = matches!(e, outgoing::CallError::NotSent(_));
                 self.dispatcher
-                    .order_lost(now_ms, answered.key, &answered.order, is_unsent)
+                    .order_lost(now_ms, answer.key, &answer.order, is_unsent)
             }
         };
         self.act(cx, actions);
