--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -144,9 +144,7 @@
         }
         match self.parts.view.write() {
             Ok(mut snapshot) => *snapshot = new,
-            Err(e) => {
-                log::error!(event = "view.poisoned"; "the threads that serve callers keep the previous state: {e}")
-            }
+            Err(e) => log::error!(event = "view.poisoned"; "view for callers not updated: {e}"),
         }
     }
 
