--- a/tests/unit/answers.rs
+++ b/tests/unit/answers.rs
@@ -240,9 +240,7 @@
                     prop_assert!(answer.tasks.is_empty());
                 }
             }
-            calls::Reply::Forward { .. } => {
-                prop_assert!(false, "forwarded though there is no other entry")
-            }
+            calls::Reply::Forward { .. } => prop_assert!(false, "forwarded without another entry"),
         }
         self.act(actions)
     }
@@ -293,7 +291,7 @@
             }
             calls::Reply::Claiming(_) => Ok(()),
             calls::Reply::Forward { .. } => {
-                prop_assert!(false, "forwarded though there is no other entry");
+                prop_assert!(false, "forwarded without another entry");
                 Ok(())
             }
         }
