--- a/src/entry/attempts.rs
+++ b/src/entry/attempts.rs
@@ -244,14 +244,14 @@
         self.counts.started += 1;
         self.report_end(now_ms, number, &pending, run_ms, code);
         let place = self.place_of(pending.runner);
-        let fate = match code.class() {
+        let task_outcome = match code.class() {
             codes::Class::Complete => api::TaskOutcome::Ran,
             codes::Class::MayHaveRun => return self.attempt_lost(now_ms, &pending, code),
             _ => api::TaskOutcome::Failed,
         };
         let code = self.cause_of(pending.task, code);
         let decided = jobs::Decided {
-            fate,
+            task_outcome,
             code,
             output,
             run_ms,
--- a/src/jobs/answer.rs
+++ b/src/jobs/answer.rs
@@ -60,10 +60,10 @@
 /// The code of the weakest guarantee wins: a task that may have run comes before one that
 /// failed, and that before one that did not run.
 fn overall(decided: &[&jobs::Decided]) -> codes::Code {
-    let first_code = |fate: api::TaskOutcome| {
+    let first_code = |task_outcome: api::TaskOutcome| {
         let mut codes = decided
             .iter()
-            .filter(|task| task.fate == fate)
+            .filter(|task| task.task_outcome == task_outcome)
             .map(|task| task.code);
         let first = codes.clone().next();
         codes.find(|code| !is_consequence(*code)).or(first)
@@ -105,7 +105,7 @@
 fn task_answer(decided: &jobs::Decided, with_output: bool) -> api::TaskAnswer {
     let place = decided.place.as_ref();
     api::TaskAnswer {
-        fate: decided.fate,
+        fate: decided.task_outcome,
         code: decided.code,
         output: with_output.then(|| decided.output.clone()),
         runner: place.map(|place| place.runner.clone()),
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Decided {
     /// Class of the outcome.
-    pub fate: api::TaskOutcome,
+    pub task_outcome: api::TaskOutcome,
     /// Result code.
     pub code: codes::Code,
     /// Output of the backend server.
@@ -86,7 +86,7 @@
     /// Returns the outcome of a task that was not started and never will be.
     pub const fn not_run(code: codes::Code) -> Self {
         Self {
-            fate: api::TaskOutcome::NotRun,
+            task_outcome: api::TaskOutcome::NotRun,
             code,
             output: String::new(),
             run_ms: 0,
@@ -97,7 +97,7 @@
     /// Returns the outcome of a task that may have been started and is not started again.
     pub const fn may_have_run(code: codes::Code, place: Option<Place>) -> Self {
         Self {
-            fate: api::TaskOutcome::MayHaveRun,
+            task_outcome: api::TaskOutcome::MayHaveRun,
             code,
             output: String::new(),
             run_ms: 0,
@@ -203,10 +203,10 @@
     /// later attempts ended.
     pub fn decide(&mut self, now_ms: u64, index: u32, decided: Decided) {
         let decided = match self.lost.get(&index) {
-            Some(lost) if decided.fate == api::TaskOutcome::NotRun => lost.clone(),
+            Some(lost) if decided.task_outcome == api::TaskOutcome::NotRun => lost.clone(),
             _ => decided,
         };
-        if !matches!(decided.fate, api::TaskOutcome::Ran) {
+        if !matches!(decided.task_outcome, api::TaskOutcome::Ran) {
             self.give_up(now_ms, decided.code);
         }
         self.set_progress(index, Progress::Decided(decided));
--- a/src/jobs/summary.rs
+++ b/src/jobs/summary.rs
@@ -12,7 +12,7 @@
 /// Run-length encoding of consecutive tasks with the same outcome and result code.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Repeated {
-    fate: api::TaskOutcome,
+    outcome: api::TaskOutcome,
     code: codes::Code,
     count: u32,
 }
@@ -33,9 +33,9 @@
         let mut outcomes = Vec::<Repeated>::new();
         for task in &answer.tasks {
             match outcomes.last_mut() {
-                Some(last) if (last.fate, last.code) == (task.fate, task.code) => last.count += 1,
+                Some(row) if (row.outcome, row.code) == (task.fate, task.code) => row.count += 1,
                 _ => outcomes.push(Repeated {
-                    fate: task.fate,
+                    outcome: task.fate,
                     code: task.code,
                     count: 1,
                 }),
@@ -62,7 +62,7 @@
         };
         let tasks = self.outcomes.iter().flat_map(|repeated| {
             let task = api::TaskAnswer {
-                fate: repeated.fate,
+                fate: repeated.outcome,
                 code: repeated.code,
                 output: None,
                 runner: None,
--- a/tests/unit/due.rs
+++ b/tests/unit/due.rs
@@ -32,7 +32,7 @@
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let fate = proptest::sample::select(vec![
+    let task_outcome = proptest::sample::select(vec![
         api::TaskOutcome::Ran,
         api::TaskOutcome::Ran,
         api::TaskOutcome::Failed,
@@ -45,8 +45,8 @@
             tasks
         }),
         1 => (0_usize..40).prop_map(Step::GiveUp),
-        6 => (0_usize..40, 0_u32..4, fate).prop_map(|(at, index, fate)| {
-            Step::Decide(at, index, fate)
+        6 => (0_usize..40, 0_u32..4, task_outcome).prop_map(|(at, index, task_outcome)| {
+            Step::Decide(at, index, task_outcome)
         }),
         2 => (0_usize..40).prop_map(Step::Settle),
         1 => (learned, 0_u64..4).prop_map(|(means, ratio)| Step::Learn(means, ratio)),
@@ -99,12 +99,12 @@
                 let code = codes::Code::CancelledNotRun;
                 self.table.give_up(self.now_ms, at(which), code);
             }
-            Step::Decide(which, index, fate) => {
+            Step::Decide(which, index, task_outcome) => {
                 let task = jobs::TaskKey {
                     submission: at(which),
                     index: *index,
                 };
-                self.table.decide(self.now_ms, task, decided(*fate));
+                self.table.decide(self.now_ms, task, decided(*task_outcome));
             }
             Step::Settle(which) => drop(self.table.settle(at(which), self.now_ms)),
             Step::Learn(means, ratio) => {
@@ -183,9 +183,9 @@
     }
 }
 
-fn decided(fate: api::TaskOutcome) -> jobs::Decided {
+fn decided(task_outcome: api::TaskOutcome) -> jobs::Decided {
     jobs::Decided {
-        fate,
+        task_outcome,
         ..jobs::Decided::not_run(codes::Code::TaskFailed)
     }
 }
--- a/tests/unit/jobs.rs
+++ b/tests/unit/jobs.rs
@@ -36,11 +36,11 @@
         api::TaskOutcome::NotRun,
         api::TaskOutcome::MayHaveRun,
     ];
-    let fate = proptest::sample::select(outcomes.to_vec());
+    let task_outcome = proptest::sample::select(outcomes.to_vec());
     prop_oneof![
         2 => at.clone().prop_map(Step::Dispatched),
         1 => at.clone().prop_map(Step::Lost),
-        4 => (at, fate).prop_map(|(at, fate)| Step::Decided(at, fate)),
+        4 => (at, task_outcome).prop_map(|(at, task_outcome)| Step::Decided(at, task_outcome)),
     ]
 }
 
@@ -60,8 +60,8 @@
     }
 }
 
-fn decided(fate: api::TaskOutcome, index: usize) -> jobs::Decided {
-    let code = match fate {
+fn decided(task_outcome: api::TaskOutcome, index: usize) -> jobs::Decided {
+    let code = match task_outcome {
         api::TaskOutcome::Ran => codes::Code::Complete,
         api::TaskOutcome::Failed => codes::Code::TaskFailed,
         api::TaskOutcome::NotRun => codes::Code::DeadlineNotRun,
@@ -69,7 +69,7 @@
     };
     jobs::Decided {
         output: format!("output-{index}"),
-        fate,
+        task_outcome,
         ..jobs::Decided::not_run(code)
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Default)]
 struct Model {
     is_lost: bool,
-    fate: Option<api::TaskOutcome>,
+    task_outcome: Option<api::TaskOutcome>,
 }
 
 fn run(tasks: usize, steps: &[Step]) -> Result<(), test_runner::TestCaseError> {
@@ -100,22 +100,22 @@
                 };
                 open.dispatched(index, attempt);
             }
-            Step::Lost(at) if at < tasks && model[at].fate.is_none() => {
+            Step::Lost(at) if at < tasks && model[at].task_outcome.is_none() => {
                 open.lost(index, codes::Code::RunnerLost, None);
                 model[at].is_lost = true;
             }
-            Step::Decided(at, fate) if at < tasks => {
-                open.decide(1, index, decided(fate, at));
-                let outcome = match fate {
+            Step::Decided(at, task_outcome) if at < tasks => {
+                open.decide(1, index, decided(task_outcome, at));
+                let outcome = match task_outcome {
                     api::TaskOutcome::NotRun if model[at].is_lost => api::TaskOutcome::MayHaveRun,
-                    fate => fate,
+                    task_outcome => task_outcome,
                 };
-                model[at].fate.get_or_insert(outcome);
+                model[at].task_outcome.get_or_insert(outcome);
             }
             _ => {}
         }
         let answer = table.settle(key, 2);
-        let outcomes: Option<Vec<_>> = model.iter().map(|one| one.fate).collect();
+        let outcomes: Option<Vec<_>> = model.iter().map(|one| one.task_outcome).collect();
         prop_assert_eq!(
             answer.is_some(),
             outcomes.is_some(),
@@ -134,7 +134,7 @@
     outcomes: &[api::TaskOutcome],
 ) -> Result<(), test_runner::TestCaseError> {
     let answered: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
-    let all = |wanted| outcomes.iter().all(|fate| *fate == wanted);
+    let all = |wanted| outcomes.iter().all(|task_outcome| *task_outcome == wanted);
     let any = |wanted| outcomes.contains(&wanted);
     let expected = if all(api::TaskOutcome::Ran) {
         codes::Class::Complete
--- a/tests/unit/placement.rs
+++ b/tests/unit/placement.rs
@@ -66,7 +66,7 @@
 
 fn drawn(raw: &[Raw]) -> Vec<placement::Candidate> {
     let keys = keys(raw.len());
-    let one = |(key, raw): (membership::RunnerKey, &Raw)| {
+    let build = |(key, raw): (membership::RunnerKey, &Raw)| {
         let ((is_near, is_suspect, rack), (free_slots, parked, send_limit), (free, more)) = *raw;
         placement::Candidate {
             is_near,
@@ -80,7 +80,7 @@
             ..candidate(key)
         }
     };
-    keys.into_iter().zip(raw).map(one).collect()
+    keys.into_iter().zip(raw).map(build).collect()
 }
 
 /// Whether the candidate can take a task with this need.
