--- a/src/hangup.rs
+++ b/src/hangup.rs
@@ -27,9 +27,7 @@
             Ok(stream) => {
                 data.insert(Self(rc::Rc::new(stream)));
             }
-            Err(e) => {
-                log::warn!(event = "connection.unwatched"; "cannot duplicate the socket, so a hang-up goes undetected: {e}")
-            }
+            Err(e) => log::warn!(event = "connection.unwatched"; "hang-ups are not detected: {e}"),
         }
     }
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// Renders metrics in the OpenMetrics text format.
+/// Renders metrics in the `OpenMetrics` text format.
 pub fn render(samples: Vec<Sample>) -> Result<String, std::fmt::Error> {
     let mut registry = registry::Registry::with_prefix(PREFIX);
     registry.register_collector(Box::new(Samples(samples)));
