--- a/standins/src/bin/standin-demo.rs
+++ b/standins/src/bin/standin-demo.rs
@@ -60,15 +60,15 @@
 fn start(site: site::Site) -> Outcome<Demo> {
     let log = site.log(&[])?;
     println!("demo: log service at {}", log.address());
-    let mut links = site::Links {
+    let mut links = site::Endpoints {
         log: log.address(),
         entries: Vec::new(),
     };
     let mut entries = Vec::new();
     for (name, zone) in [("entry-1", "caxias"), ("entry-2", "bento")] {
-        let entry = site.entry(&site::Place::new(name, zone), &links)?;
+        let entry = site.entry(&site::Location::new(name, zone), &links)?;
         println!("demo: {name} in {zone} at {}", entry.address());
-        links.entries.push(entry.announced("peers")?);
+        links.entries.push(entry.wait_for_address("peers")?);
         entries.push(entry);
     }
     let mut runners = Vec::new();
@@ -79,7 +79,7 @@
         ("runner-3", "bento"),
     ] {
         let worker = site.worker(&format!("worker-of-{name}"), &[])?;
-        let place = site::Place::new(name, zone);
+        let place = site::Location::new(name, zone);
         let runner = site.runner(&place, &links, worker.address(), &[])?;
         println!("demo: {name} in {zone} at {}", runner.address());
         workers.push(worker);
--- a/standins/src/bin/standin-site.rs
+++ b/standins/src/bin/standin-site.rs
@@ -130,22 +130,22 @@
 
 fn start(options: &Options, site: site::Site) -> Outcome<Running> {
     let log = site.log(&[])?;
-    let mut links = site::Links {
+    let mut links = site::Endpoints {
         log: log.address(),
         entries: Vec::new(),
     };
     let zones = options.zones.iter().cycle();
     let mut entries = Vec::new();
     for (at, zone) in (1..=options.entries).zip(zones.clone()) {
-        let entry = site.entry(&site::Place::new(&format!("entry-{at}"), zone), &links)?;
-        links.entries.push(entry.announced("peers")?);
+        let entry = site.entry(&site::Location::new(&format!("entry-{at}"), zone), &links)?;
+        links.entries.push(entry.wait_for_address("peers")?);
         entries.push(entry);
     }
     let mut runners = Vec::new();
     let mut workers = Vec::new();
     for (at, zone) in (1..=options.runners).zip(zones) {
         let worker = site.worker(&format!("worker-{at}"), &[])?;
-        let place = site::Place::new(&format!("runner-{at}"), zone);
+        let place = site::Location::new(&format!("runner-{at}"), zone);
         runners.push(site.runner(&place, &links, worker.address(), &[])?);
         workers.push(worker);
     }
@@ -176,7 +176,7 @@
         let peers: Vec<_> = self
             .entries
             .iter()
-            .filter_map(|one| one.announced("peers").ok())
+            .filter_map(|one| one.wait_for_address("peers").ok())
             .map(|address| address.to_string())
             .collect();
         command
--- a/standins/src/platform/backend.rs
+++ b/standins/src/platform/backend.rs
@@ -204,7 +204,7 @@
 }
 
 /// Adds the backend server's calls.
-pub fn pages(cfg: &mut web::ServiceConfig, backend: &sync::Arc<Backend>) {
+pub fn configure(cfg: &mut web::ServiceConfig, backend: &sync::Arc<Backend>) {
     cfg.app_data(web::Data::from(sync::Arc::clone(backend)));
     cfg.route("/run-start", web::post().to(start));
     cfg.route("/run-stop", web::post().to(stop));
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -70,7 +70,7 @@
 }
 
 /// Adds the store's calls.
-pub fn pages(cfg: &mut web::ServiceConfig, store: &sync::Arc<Store>) {
+pub fn configure(cfg: &mut web::ServiceConfig, store: &sync::Arc<Store>) {
     cfg.app_data(web::Data::from(sync::Arc::clone(store)));
     cfg.route("/log-append", web::post().to(append));
     cfg.route("/log-read", web::get().to(read));
--- a/standins/src/processes.rs
+++ b/standins/src/processes.rs
@@ -103,7 +103,7 @@
             output,
             reader,
         };
-        started.address = started.announced(LISTENING)?;
+        started.address = started.wait_for_address(LISTENING)?;
         Ok(started)
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Waits for a further line `WORD IP:PORT` of its output.
-    pub fn announced(&self, word: &str) -> Result<net::SocketAddr, Error> {
+    pub fn wait_for_address(&self, word: &str) -> Result<net::SocketAddr, Error> {
         let (announced, more) = &*self.output;
         let missing =
             |seen: &mut Announced| !seen.closed && seen.addresses.iter().all(|(w, _)| w != word);
@@ -157,7 +157,7 @@
     /// The signal is taken by one thread, and the others go on until that one has had its turn
     /// on a processor. On a busy machine an entry still answered a call that was made after
     /// the signal, and a test took it for one that was not frozen.
-    pub fn freeze(&mut self) -> io::Result<()> {
+    pub fn suspend(&mut self) -> io::Result<()> {
         self.signal(Signal::STOP)?;
         let pid = rustix::process::Pid::from_child(&self.child);
         let options =
@@ -173,7 +173,7 @@
     }
 
     /// SIGCONT.
-    pub fn thaw(&mut self) -> io::Result<()> {
+    pub fn resume(&mut self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -13,7 +13,7 @@
 
 /// Where a process stands.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct Location {
     /// The process's name.
     pub name: SmolStr,
     /// Its availability zone.
@@ -26,7 +26,7 @@
     pub advertise: Option<net::SocketAddr>,
 }
 
-impl Place {
+impl Location {
     /// A process in a zone, in a rack of its own.
     pub fn new(name: &str, zone: &str) -> Self {
         Self {
@@ -41,7 +41,7 @@
 
 /// What a daemon is started with, beside its place.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct Endpoints {
     /// Where it reaches the log.
     pub log: net::SocketAddr,
     /// Entries that it knows to begin with.
@@ -103,11 +103,11 @@
         self.start("standin-worker", args, name)
     }
 
-    /// Starts an entry; other processes reach it at `announced("peers")`.
+    /// Starts an entry; other processes reach it at `wait_for_address("peers")`.
     pub fn entry(
         &self,
-        place: &Place,
-        links: &Links,
+        place: &Location,
+        links: &Endpoints,
     ) -> Result<processes::Process, processes::Error> {
         let mut args = self.daemon_args("entry", place, links);
         args.extend(["--listen".into(), ANY_PORT.into()]);
@@ -117,8 +117,8 @@
     /// Starts a runner beside a worker; `more` are further arguments.
     pub fn runner(
         &self,
-        place: &Place,
-        links: &Links,
+        place: &Location,
+        links: &Endpoints,
         backend: net::SocketAddr,
         more: &[&str],
     ) -> Result<processes::Process, processes::Error> {
@@ -136,7 +136,7 @@
         self.start("bulrushtillerd", &args, &place.name)
     }
 
-    fn daemon_args(&self, role: &str, place: &Place, links: &Links) -> Vec<ffi::OsString> {
+    fn daemon_args(&self, role: &str, place: &Location, links: &Endpoints) -> Vec<ffi::OsString> {
         let log_file = self.folder.join(format!("{}.jsonl", place.name));
         let mut args: Vec<ffi::OsString> = Vec::new();
         let peer_listen = place.peer_listen.map(|address| address.to_string());
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -438,10 +438,10 @@
     let mut process = processes::Process::start(program, args, "worker", folder.path()).unwrap();
     let url = format!("http://{}/v1/usage", process.address());
 
-    process.freeze().unwrap();
+    process.suspend().unwrap();
     let mut call = actix_rt::spawn(async move { get(&url).await });
     let frozen = tokio::time::timeout(time::Duration::from_millis(100), &mut call).await;
-    process.thaw().unwrap();
+    process.resume().unwrap();
     let thawed = tokio::time::timeout(LIMIT, call).await.unwrap().unwrap();
     process.terminate().unwrap();
     let exit = process.wait_exit(LIMIT).unwrap();
@@ -464,7 +464,7 @@
     let log = start(log, &["--retention", "10"], "log");
     let to = log.address().to_string();
     let relay = start(relay, &["--to", &to], "relay");
-    let control = relay.announced("control").unwrap();
+    let control = relay.wait_for_address("control").unwrap();
     let url = format!("http://{}/v1/streams/s/records", relay.address());
 
     let through = post(&url, &json!(1)).await.unwrap();
--- a/tests/failure/cuts.rs
+++ b/tests/failure/cuts.rs
@@ -24,7 +24,7 @@
         let program = rig.site.program("standin-relay");
         let process = processes::Process::start(&program, args, &name, rig.site.folder());
         let process = process.expect("a relay starts");
-        let control = process.announced("control").expect("a control port");
+        let control = process.wait_for_address("control").expect("a control port");
         Self { process, control }
     }
 
@@ -85,14 +85,14 @@
     rig: &mut rig::Rig,
     name: &str,
     zone: &str,
-    links: &site::Links,
+    links: &site::Endpoints,
 ) -> (Relay, net::SocketAddr) {
     let direct = reserve();
     let relay = Relay::start(rig, direct);
-    let place = site::Place {
+    let place = site::Location {
         peer_listen: Some(direct),
         advertise: Some(relay.address()),
-        ..site::Place::new(name, zone)
+        ..site::Location::new(name, zone)
     };
     let entry = rig.site.entry(&place, links).expect("an entry starts");
     rig.entries.push(entry);
@@ -104,25 +104,25 @@
     rig: &mut rig::Rig,
     name: &str,
     zone: &str,
-    links: &site::Links,
+    links: &site::Endpoints,
 ) -> Relay {
     let direct = reserve();
     let relay = Relay::start(rig, direct);
-    let place = site::Place {
+    let place = site::Location {
         peer_listen: Some(direct),
         advertise: Some(relay.address()),
-        ..site::Place::new(name, zone)
+        ..site::Location::new(name, zone)
     };
     add_runner(rig, &place, links);
     relay
 }
 
 /// Starts a runner with a worker of its own and links of its own.
-pub fn runner_with(rig: &mut rig::Rig, name: &str, zone: &str, links: &site::Links) {
-    add_runner(rig, &site::Place::new(name, zone), links);
+pub fn runner_with(rig: &mut rig::Rig, name: &str, zone: &str, links: &site::Endpoints) {
+    add_runner(rig, &site::Location::new(name, zone), links);
 }
 
-fn add_runner(rig: &mut rig::Rig, place: &site::Place, links: &site::Links) {
+fn add_runner(rig: &mut rig::Rig, place: &site::Location, links: &site::Endpoints) {
     let worker = rig.site.worker(&format!("worker-of-{}", place.name), &[]);
     let worker = worker.expect("a worker starts");
     let runner = rig.site.runner(place, links, worker.address(), &[]);
--- a/tests/failure/input.rs
+++ b/tests/failure/input.rs
@@ -30,7 +30,7 @@
 
 /// Every port of the first entry and of the first runner.
 fn ports(rig: &rig::Rig) -> [net::SocketAddr; 3] {
-    let peers = rig.entries[0].announced("peers").expect("a port");
+    let peers = rig.entries[0].wait_for_address("peers").expect("a port");
     [rig.entries[0].address(), peers, rig.runners[0].address()]
 }
 
--- a/tests/failure/passing.rs
+++ b/tests/failure/passing.rs
@@ -99,7 +99,7 @@
     let mut rig = passing_rig();
     let passed = told("frozen", 20);
 
-    rig.entries[0].freeze().expect("it is frozen");
+    rig.entries[0].suspend().expect("it is frozen");
     let since = time::Instant::now();
     let silent = passed.submit(&rig, 1).expect("an answer");
     let told_after = since.elapsed();
@@ -107,7 +107,7 @@
         let answer = rig.submit(1, &rig::job(&[rig::sleep(1, "later")]));
         answer.is_some_and(|answer| answer.code == codes::Code::Complete)
     });
-    rig.entries[0].thaw().expect("it is thawed");
+    rig.entries[0].resume().expect("it is thawed");
     let id = silent.submission.clone().expect("an id to ask by");
     rig::wait_until("the true answer", || {
         let answer = passed.hear(rig.fetch(1, &id, 1_000));
@@ -135,9 +135,9 @@
     let mut links = rig.links.clone();
     let (relay, direct) = cuts::entry_behind_relay(&mut rig, "entry-0", "caxias", &links);
     links.entries.push(relay.address());
-    let place = site::Place::new("entry-1", "bento");
+    let place = site::Location::new("entry-1", "bento");
     let second = rig.site.entry(&place, &links).expect("an entry starts");
-    let peers = second.announced("peers").expect("a peers port");
+    let peers = second.wait_for_address("peers").expect("a peers port");
     rig.entries.push(second);
     rig.links.entries = vec![direct, peers];
     rig.add_runner("runner-0", "caxias", &[]);
--- a/tests/failure/rig.rs
+++ b/tests/failure/rig.rs
@@ -73,7 +73,7 @@
     pub entries: Vec<processes::Process>,
     pub runners: Vec<processes::Process>,
     pub workers: Vec<processes::Process>,
-    pub links: site::Links,
+    pub links: site::Endpoints,
     _folder: tempfile::TempDir,
     _turn: turns::Turn,
 }
@@ -100,7 +100,7 @@
         let folder = tempfile::tempdir().expect("a temporary folder");
         let site = site::Site::new(&programs(), folder.path()).logging("debug");
         let log = site.log(&plan.log).expect("the log starts");
-        let links = site::Links {
+        let links = site::Endpoints {
             log: log.address(),
             entries: Vec::new(),
         };
@@ -130,14 +130,16 @@
 
     /// Starts one more entry, which knows the ones before it.
     pub fn add_entry(&mut self, name: &str, zone: &str) {
-        let place = site::Place::new(name, zone);
+        let place = site::Location::new(name, zone);
         let entry = self
             .site
             .entry(&place, &self.links)
             .expect("an entry starts");
-        self.links
-            .entries
-            .push(entry.announced("peers").expect("an entry's peers port"));
+        self.links.entries.push(
+            entry
+                .wait_for_address("peers")
+                .expect("an entry's peers port"),
+        );
         self.entries.push(entry);
     }
 
@@ -147,7 +149,7 @@
             .site
             .worker(&format!("worker-of-{name}"), &[])
             .expect("a worker starts");
-        let place = site::Place::new(name, zone);
+        let place = site::Location::new(name, zone);
         let runner = self
             .site
             .runner(&place, &self.links, worker.address(), more);
--- a/tests/failure/settings.rs
+++ b/tests/failure/settings.rs
@@ -286,7 +286,7 @@
     let mut rig = cuts::bare("");
     rig.add_entry("entry-0", "bento");
     let log = cuts::Relay::start(&rig, rig.log.address());
-    let links = site::Links {
+    let links = site::Endpoints {
         log: log.address(),
         entries: rig.links.entries.clone(),
     };
@@ -320,13 +320,13 @@
 fn settings_that_take_long_on_their_way_come_into_force() {
     let mut rig = cuts::bare("");
     let log = cuts::Relay::start(&rig, rig.log.address());
-    let links = site::Links {
+    let links = site::Endpoints {
         log: log.address(),
         entries: Vec::new(),
     };
     let entry = rig
         .site
-        .entry(&site::Place::new("entry-0", "bento"), &links);
+        .entry(&site::Location::new("entry-0", "bento"), &links);
     rig.entries.push(entry.expect("an entry starts"));
     let bytes_per_s = 14 << 10;
     let filler = "# what operators note beside a limit\n".repeat(1_600);
--- a/tests/failure/starts.rs
+++ b/tests/failure/starts.rs
@@ -97,10 +97,10 @@
     told.submit(&rig, 0).expect("an answer");
     rig::wait_until("tasks run", || !rig.starts().is_empty());
 
-    rig.entries[0].freeze().expect("it is frozen");
+    rig.entries[0].suspend().expect("it is frozen");
     let silent = told.submit(&rig, 1).expect("an answer");
     let gone = told.submit_until_final(&rig, 1);
-    rig.entries[0].thaw().expect("it is thawed");
+    rig.entries[0].resume().expect("it is thawed");
     rig::wait_until("the true answer", || {
         let answer = told.submit(&rig, 1);
         answer.is_some_and(|answer| answer.is_final && answer.code != codes::Code::OwnerGone)
@@ -121,14 +121,14 @@
     told.submit(&rig, 0).expect("an answer");
     rig::wait_until("it runs", || rig.starts_of(told.payload(0)) == 1);
 
-    rig.entries[0].freeze().expect("it is frozen");
+    rig.entries[0].suspend().expect("it is frozen");
     relay.cut();
     rig::wait_until("the runner has forgotten", || {
         let address = rig.runners[0].address();
         metric(address, "runner_remembered") == Some(0)
     });
     relay.mend();
-    rig.entries[0].thaw().expect("it is thawed");
+    rig.entries[0].resume().expect("it is thawed");
     let answer = told.submit_until_final(&rig, 0);
 
     assert_eq!(answer.code.class(), codes::Class::MayHaveRun);
--- a/tests/failure/stops.rs
+++ b/tests/failure/stops.rs
@@ -197,11 +197,11 @@
     rig::wait_until("the task runs", || rig.starts_of(told.payload(0)) == 1);
     let at = rig.starts()[0].0;
 
-    rig.workers[at].freeze().expect("it hangs");
+    rig.workers[at].suspend().expect("it hangs");
     rig.runners[at].terminate().expect("told to stop");
     let exit = rig.runners[at].wait_exit(STOP).expect("waited for");
     let answer = told.submit_until_final(&rig, 0);
-    rig.workers[at].thaw().expect("it goes on");
+    rig.workers[at].resume().expect("it goes on");
 
     assert!(exit.expect("it ends").success());
     assert_eq!(
--- a/tests/failure/traffic.rs
+++ b/tests/failure/traffic.rs
@@ -33,7 +33,7 @@
     let address = rig.entries[0].address();
     let (tx, rx) = mpsc::channel();
 
-    rig.runners[0].freeze().expect("a signal");
+    rig.runners[0].suspend().expect("a signal");
     for _ in 0..JOBS {
         let (tx, job) = (tx.clone(), job.clone());
         thread::spawn(move || {
@@ -43,7 +43,7 @@
     }
     let next = || rx.recv_timeout(rig::LIMIT / 3).expect("an answer in time");
     let mut answers: Vec<_> = (0..JOBS - HELD).map(|_| next()).collect();
-    rig.runners[0].thaw().expect("a signal");
+    rig.runners[0].resume().expect("a signal");
     answers.extend((0..HELD).map(|_| next()));
 
     let codes: Vec<_> = answers.iter().map(|answer| answer.code).collect();
--- a/tests/failure/zones.rs
+++ b/tests/failure/zones.rs
@@ -112,7 +112,7 @@
     let mut rig = cuts::bare(SETTINGS);
     let log = cuts::Relay::start(&rig, rig.log.address());
     rig.add_entry("reader", "bento");
-    let links = site::Links {
+    let links = site::Endpoints {
         log: log.address(),
         entries: rig.links.entries.clone(),
     };
@@ -150,16 +150,16 @@
 fn runner_cut_off_from_everything_starts_nothing() {
     let mut rig = cuts::bare(SETTINGS);
     let log = cuts::Relay::start(&rig, rig.log.address());
-    let none = site::Links {
+    let none = site::Endpoints {
         log: rig.log.address(),
         entries: Vec::new(),
     };
     let (relay, direct) = cuts::entry_behind_relay(&mut rig, "entry-0", "bento", &none);
-    let cut_off = site::Links {
+    let cut_off = site::Endpoints {
         log: log.address(),
         entries: vec![relay.address()],
     };
-    let well = site::Links {
+    let well = site::Endpoints {
         log: rig.log.address(),
         entries: vec![direct],
     };
@@ -194,23 +194,23 @@
 fn zone_cut_off_from_the_log_and_other_zones_starts_nothing() {
     let mut rig = cuts::bare(SETTINGS);
     let log = cuts::Relay::start(&rig, rig.log.address());
-    let none = site::Links {
+    let none = site::Endpoints {
         log: rig.log.address(),
         entries: Vec::new(),
     };
     let (bento, bento_direct) = cuts::entry_behind_relay(&mut rig, "entry-b", "bento", &none);
-    let in_bento = site::Links {
+    let in_bento = site::Endpoints {
         log: rig.log.address(),
         entries: vec![bento_direct],
     };
     let runner = cuts::runner_behind_relay(&mut rig, "runner-b", "bento", &in_bento);
-    let to_bento = site::Links {
+    let to_bento = site::Endpoints {
         log: log.address(),
         entries: vec![bento.address()],
     };
     let (caxias, caxias_direct) =
         cuts::entry_behind_relay(&mut rig, "entry-c", "caxias", &to_bento);
-    let in_caxias = site::Links {
+    let in_caxias = site::Endpoints {
         log: log.address(),
         entries: vec![caxias_direct, bento.address()],
     };
@@ -291,12 +291,12 @@
 fn frozen_runner_thaws_and_starts_nothing() {
     let mut rig = cuts::bare(PATIENT);
     let log = cuts::Relay::start(&rig, rig.log.address());
-    let none = site::Links {
+    let none = site::Endpoints {
         log: rig.log.address(),
         entries: Vec::new(),
     };
     let (entry, _direct) = cuts::entry_behind_relay(&mut rig, "entry-0", "bento", &none);
-    let links = site::Links {
+    let links = site::Endpoints {
         log: log.address(),
         entries: vec![entry.address()],
     };
@@ -312,12 +312,12 @@
     let taken = rig.submit(0, &submission).expect("an answer");
     rig::wait_until("every slot runs a task", || rig.starts().len() == 8);
     sleep_ms(100);
-    rig.runners[0].freeze().expect("frozen");
+    rig.runners[0].suspend().expect("frozen");
     rig.set_zone("caxias", true);
     let answered_ms = watch::unix_ms();
     sleep_ms(BOUND_MS + 500);
     let handed_out = rig::status(rig.entries[0].address()).running;
-    rig.runners[0].thaw().expect("thawed");
+    rig.runners[0].resume().expect("thawed");
     let id = taken.submission.expect("an id");
     rig::wait_until("the answer is final", || {
         rig.fetch(0, &id, 1_000)
@@ -338,11 +338,11 @@
     let callers = watch::Callers::start(&[rig.entries[0].address()], 2, 40, 60);
     sleep_ms(400);
 
-    rig.entries[0].freeze().expect("frozen");
+    rig.entries[0].suspend().expect("frozen");
     rig.set_zone("caxias", true);
     let answered_ms = watch::unix_ms();
     sleep_ms(BOUND_MS + 500);
-    rig.entries[0].thaw().expect("thawed");
+    rig.entries[0].resume().expect("thawed");
     let thawed_ms = watch::unix_ms();
     sleep_ms(1_500);
     let outcomes = callers.stop();
