--- a/src/api.rs
+++ b/src/api.rs
@@ -107,10 +107,10 @@
     /// Output of the backend server.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub output: Option<String>,
-    /// The runner that ran it.
+    /// Runner that ran the task.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub runner: Option<SmolStr>,
-    /// The availability zone it ran in.
+    /// Availability zone in which it ran.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<SmolStr>,
     /// Run time in milliseconds.
@@ -164,7 +164,7 @@
     pub incarnation: SmolStr,
     /// Its availability zone.
     pub zone: SmolStr,
-    /// Whether it is stopping.
+    /// Whether the process is stopping.
     pub leaving: bool,
     /// Revision of the settings in force; `None` before the first.
     pub revision: Option<u64>,
--- a/src/hangup.rs
+++ b/src/hangup.rs
@@ -27,7 +27,7 @@
             Ok(stream) => {
                 data.insert(Self(rc::Rc::new(stream)));
             }
-            Err(e) => log::warn!(event = "connection.unwatched"; "hang-ups are not detected: {e}"),
+            Err(e) => log::warn!(event = "connection.unwatched"; "cannot watch for hang-ups: {e}"),
         }
     }
 
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -103,7 +103,7 @@
     /// Highest known value of the log's oldest kept offset.
     front: u64,
     seen_checkpoint: Option<SeenCheckpoint>,
-    /// Changes since the latest checkpoint's position.
+    /// Number of changes since the latest checkpoint's position.
     changes: u64,
     /// Offset of the latest change.
     last_change: Option<u64>,
--- a/src/settings/record.rs
+++ b/src/settings/record.rs
@@ -53,7 +53,7 @@
     pub version: u32,
     /// Random id chosen by the author, which makes a repeated append harmless.
     pub id: SmolStr,
-    /// Who made the change.
+    /// Author of the change.
     pub author: SmolStr,
     /// Time by the author's clock, in milliseconds since 1970; informational only.
     pub time_ms: u64,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -317,7 +317,7 @@
     pub attempt: ids::Attempt,
     /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The runner's load now.
+    /// Current load of the runner.
     pub load: Load,
 }
 
@@ -347,7 +347,7 @@
     pub incarnation: ids::Incarnation,
     /// One outcome per attempt, in order; `None` if this incarnation does not know the attempt.
     pub outcomes: Vec<Option<Outcome>>,
-    /// The runner's load now.
+    /// Current load of the runner.
     pub load: Load,
 }
 
@@ -426,7 +426,7 @@
 pub struct ForwardReply {
     /// See [`VERSION`].
     pub version: u32,
-    /// The owner's answer.
+    /// Answer of the owner.
     pub answer: api::Answer,
 }
 
