--- a/src/api.rs
+++ b/src/api.rs
@@ -121,12 +121,12 @@
 /// Body of `POST /v1/tickets`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct TicketRequest {
+pub struct TicketOrder {
     /// Number of tickets to issue, 1 to 1000.
     pub count: u32,
 }
 
-/// Response to [`TicketRequest`].
+/// Response to [`TicketOrder`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Tickets {
@@ -139,12 +139,12 @@
 /// Body of `POST /v1/cancel`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct CancelRequest {
+pub struct CancelOrder {
     /// The submissions to cancel.
     pub submissions: Vec<ids::SubmissionId>,
 }
 
-/// Response to [`CancelRequest`].
+/// Response to [`CancelOrder`].
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Cancelled {
--- a/src/client/entries.rs
+++ b/src/client/entries.rs
@@ -82,7 +82,7 @@
         index: usize,
         count: u32,
     ) -> Result<api::Tickets, client::ClientError> {
-        let body = http::Body::json(&api::TicketRequest { count });
+        let body = http::Body::json(&api::TicketOrder { count });
         let call = http::Call::post(self.address(index), "/v1/tickets", body, TICKET_TIMEOUT);
         self.call(call).await?.expect_json()
     }
@@ -138,7 +138,7 @@
         index: usize,
         ids: &[ids::SubmissionId],
     ) -> Result<Vec<api::Answer>, client::ClientError> {
-        let order = api::CancelRequest {
+        let order = api::CancelOrder {
             submissions: ids.to_vec(),
         };
         let body = http::Body::json(&order);
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -81,7 +81,7 @@
     /// Issues tickets to a caller.
     ///
     /// Only the incarnation that issued a ticket may ever start its submission.
-    pub fn tickets(&mut self, now_ms: u64, order: &api::TicketRequest) -> api::Tickets {
+    pub fn tickets(&mut self, now_ms: u64, order: &api::TicketOrder) -> api::Tickets {
         let count = order.count.clamp(1, MAX_TICKETS);
         let leader = self.pass_on_target(now_ms);
         let ticket = |_| self.advance_ticket(now_ms, leader.as_ref());
--- a/src/entry/http.rs
+++ b/src/entry/http.rs
@@ -222,26 +222,24 @@
 ) -> Result<(), incoming::Refusal> {
     let tasks = submission.tasks.len();
     if tasks == 0 || (max_tasks == 1 && tasks > 1) {
-        let detail = format!(
-            "expected at least one task in a job and exactly one in a request, got {tasks}"
-        );
+        let detail = format!("{tasks} tasks; a job has one or more, a request exactly one");
         return Err(incoming::Refusal::new(codes::Code::BadBody, detail));
     }
     let limit = limits.max_job_tasks;
     if tasks > limit as usize {
-        let detail = format!("expected at most {limit} tasks, got {tasks}");
+        let detail = format!("{tasks} tasks; at most {limit}");
         return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
     }
     let limit = limits.max_payload_bytes;
     let is_large = |task: &api::Task| task.payload.len() > limit as usize;
     if submission.tasks.iter().any(is_large) {
-        let detail = format!("a payload exceeds {limit} bytes");
+        let detail = format!("a payload has more than {limit} bytes");
         return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
     }
     let is_kind_valid =
         |task: &api::Task| task.kind.is_empty() || ids::check_name(&task.kind).is_ok();
     if !submission.tasks.iter().all(is_kind_valid) {
-        let detail = "invalid kind: expected 1 to 64 of a-z, A-Z, 0-9, '-' and '_'";
+        let detail = "a kind is no name: 1 to 64 of a-z, A-Z, 0-9, '-' and '_'";
         return Err(incoming::Refusal::new(codes::Code::BadBody, detail));
     }
     Ok(())
@@ -291,9 +289,9 @@
 ) -> actix_web::HttpResponse {
     let result = async {
         let team = shared.team(&req)?;
-        let order: api::CancelRequest = shared.read_json(payload).await?;
+        let order: api::CancelOrder = shared.read_json(payload).await?;
         if order.submissions.len() > MAX_CANCELS {
-            let detail = format!("expected at most {MAX_CANCELS} submissions");
+            let detail = format!("at most {MAX_CANCELS} submissions");
             return Err(incoming::Refusal::new(codes::Code::TooLarge, detail));
         }
         let calls = order
--- a/src/entry/messages.rs
+++ b/src/entry/messages.rs
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Result<api::Tickets, codes::Code>")]
-pub struct IssueTickets(pub api::TicketRequest);
+pub struct IssueTickets(pub api::TicketOrder);
 
 /// A heartbeat received from another process.
 #[derive(Debug)]
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -19,11 +19,11 @@
     pub enum IdError {
         /// The text is not a valid name.
         Name(text: SmolStr) {
-            display("'{text}' is not a name: expected 1 to 64 of a-z, A-Z, 0-9, '-' and '_'")
+            display("'{text}' is not a name: 1 to 64 of a-z, A-Z, 0-9, '-' and '_'")
         }
         /// The text is not a valid ticket.
         Ticket {
-            display("not a ticket: expected t:NAME:INCARNATION:EPOCH:NUMBER")
+            display("this is not a ticket")
         }
         /// The text is not a valid submission id.
         Submission {
--- a/src/settings/check.rs
+++ b/src/settings/check.rs
@@ -52,7 +52,7 @@
     let mut problems = Vec::new();
     if files.len() > ranges::MAX_FILES {
         let max = ranges::MAX_FILES;
-        let reason = format!("the folder has {} files; the limit is {max}", files.len());
+        let reason = format!("the folder has {} files; at most {max}", files.len());
         problems.push(folder_problem(
             problem::WHOLE_FOLDER,
             codes::Code::SettingsTooLarge,
@@ -66,7 +66,7 @@
     }
     if total_bytes > ranges::MAX_FOLDER_BYTES {
         let max = ranges::MAX_FOLDER_BYTES;
-        let reason = format!("the folder has {total_bytes} bytes; the limit is {max}");
+        let reason = format!("the folder has {total_bytes} bytes; at most {max}");
         problems.push(folder_problem(
             problem::WHOLE_FOLDER,
             codes::Code::SettingsTooLarge,
@@ -84,8 +84,7 @@
         .collect();
     if !is_file_name(name) {
         let max = ranges::MAX_FILE_NAME_BYTES;
-        let reason =
-            format!("a file name must match [a-z0-9][a-z0-9._-]*.toml, at most {max} bytes");
+        let reason = format!("a file is named [a-z0-9][a-z0-9._-]*.toml, at most {max} bytes");
         return Some(folder_problem(
             &shown_name,
             codes::Code::SettingsBadName,
@@ -94,7 +93,7 @@
     }
     if text.len() > ranges::MAX_FILE_BYTES {
         let max = ranges::MAX_FILE_BYTES;
-        let reason = format!("the file has {} bytes; the limit is {max}", text.len());
+        let reason = format!("the file has {} bytes; at most {max}", text.len());
         return Some(folder_problem(
             &shown_name,
             codes::Code::SettingsTooLarge,
@@ -195,7 +194,7 @@
     for (name, node) in table {
         let path = merge::join_path(section, name);
         if let Err(e) = ids::check_name(name) {
-            findings.impossible(&node.origin, &path, format_args!("is invalid: {e}"));
+            findings.impossible(&node.origin, &path, format_args!("has a bad name: {e}"));
         } else if let Some(inner) = findings.table(node, &path) {
             named.insert(name.clone(), read(inner, path, findings));
         }
--- a/src/settings/merge.rs
+++ b/src/settings/merge.rs
@@ -241,7 +241,7 @@
         depth: usize,
     ) -> Result<Value, problem::Problem> {
         if depth > MAX_DEPTH {
-            return Err(self.problem(at, format!("nested deeper than {MAX_DEPTH} levels")));
+            return Err(self.problem(at, format!("nested deeper than {MAX_DEPTH}")));
         }
         Ok(match value.get_ref() {
             de::DeValue::String(text) => Value::Text(SmolStr::new(text)),
@@ -257,7 +257,7 @@
     fn integer(&self, integer: &de::DeInteger<'_>, at: usize) -> Result<Value, problem::Problem> {
         i64::from_str_radix(integer.as_str(), integer.radix())
             .map(Value::Integer)
-            .map_err(|e| self.problem(at, format!("integer out of range: {e}")))
+            .map_err(|e| self.problem(at, format!("integer out of bounds: {e}")))
     }
 
     fn float(&self, float: &de::DeFloat<'_>, at: usize) -> Result<Value, problem::Problem> {
@@ -265,6 +265,6 @@
             .as_str()
             .parse()
             .map(Value::Float)
-            .map_err(|e| self.problem(at, format!("invalid float: {e}")))
+            .map_err(|e| self.problem(at, format!("not a float: {e}")))
     }
 }
--- a/src/settings/relations.rs
+++ b/src/settings/relations.rs
@@ -54,7 +54,7 @@
 fn invalid_hash(hash: &str) -> Option<&'static str> {
     let hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     if hash.len() != ranges::TOKEN_HASH_DIGITS || !hash.bytes().all(hex) {
-        return Some("must contain hashes of 64 lower-case hexadecimal digits");
+        return Some("must have hashes of 64 lower-case hexadecimal digits");
     }
     (hash == EMPTY_TOKEN_SHA256).then_some("has the hash of the empty token")
 }
@@ -78,19 +78,19 @@
         limits.max_payload_bytes <= limits.max_body_bytes,
         "limits",
         &["max_payload_bytes", "max_body_bytes"],
-        "must be at most max_body_bytes, or the largest payload can never be sent",
+        "must be at most max_body_bytes, or the largest payload could never be sent",
     );
     require(
         limits.max_job_tasks <= limits.max_queued,
         "limits",
         &["max_job_tasks", "max_queued"],
-        "must be at most max_queued, or the largest job can never be accepted",
+        "must be at most max_queued, or the largest job could never be taken in",
     );
     require(
         timeouts.dead_after_ms >= 2 * timeouts.heartbeat_ms,
         "timeouts",
         &["dead_after_ms", "heartbeat_ms"],
-        "must be at least twice heartbeat_ms, or one lost heartbeat makes a process appear dead",
+        "must be at least twice heartbeat_ms, or one lost heartbeat looks like a death",
     );
     require(
         timeouts.fresh_ms >= 2 * timeouts.heartbeat_ms,
@@ -102,7 +102,7 @@
         timeouts.drain_ms >= timeouts.run_limit_ms + timeouts.park_ms,
         "timeouts",
         &["drain_ms", "run_limit_ms", "park_ms"],
-        "must be at least run_limit_ms + park_ms, or a graceful stop interrupts tasks",
+        "must be at least run_limit_ms + park_ms, or a planned stop cuts tasks",
     );
     require(
         timeouts.retain_ms
@@ -119,7 +119,7 @@
             "query_after_ms",
         ],
         "must be at least run_limit_ms + park_ms + dead_after_ms + query_after_ms, or a \
-         runner discards its record of a task before the entry queries it",
+         runner forgets a task before its entry has asked about it",
     );
 }
 
--- a/src/settings/state.rs
+++ b/src/settings/state.rs
@@ -142,7 +142,7 @@
             Ok(record) => self.apply(offset, &record),
             Err(e) => {
                 self.position = offset + 1;
-                reject_record(format!("the record cannot be parsed: {e}"))
+                reject_record(format!("the record can't be read: {e}"))
             }
         }
     }
@@ -239,7 +239,7 @@
     fn conflict(&self, change: &record::Change, base: u64) -> Verdict {
         let base = record::show_revision(record::revision_of(base));
         let in_force = record::show_revision(self.revision);
-        let reason = format!("based on revision {base}, but revision {in_force} is in force");
+        let reason = format!("made on revision {base}, but revision {in_force} is in force");
         reject(codes::Code::SettingsConflict, change.file.clone(), reason)
     }
 
@@ -347,14 +347,14 @@
 /// Returns the reason why a change is not a valid record of this release, if any.
 fn invalid_change(change: &record::Change) -> Option<String> {
     if change.version != record::VERSION {
-        return Some(format!("unsupported version {}", change.version));
+        return Some(format!("version {} is not spoken here", change.version));
     }
     if let Err(e) = ids::check_name(&change.id) {
-        return Some(format!("invalid id: {e}"));
+        return Some(format!("the id is not good: {e}"));
     }
     let author = &change.author;
     if author.len() > ranges::MAX_AUTHOR_BYTES || author.chars().any(char::is_control) {
-        return Some("the author is too long or contains control characters".to_owned());
+        return Some("the author is too long or has control characters".to_owned());
     }
     None
 }
@@ -364,7 +364,7 @@
 }
 
 fn reject_missing_file(change: &record::Change) -> Verdict {
-    let reason = "the file to remove does not exist".to_owned();
+    let reason = "there is no such file to remove".to_owned();
     reject(codes::Code::SettingsNoFile, change.file.clone(), reason)
 }
 
--- a/tests/failure/rig.rs
+++ b/tests/failure/rig.rs
@@ -226,7 +226,7 @@
     /// more than a stock.
     pub fn ticket(&self, entry: usize) -> ids::SubmissionId {
         let count = leading::TICKET_STOCK_SIZE + 1;
-        let order = api::TicketRequest { count };
+        let order = api::TicketOrder { count };
         let entry = &self.entries[entry];
         let given: Option<api::Tickets> = post(entry.address(), "/v1/tickets", TOKEN, &order);
         let is_own = |id: &ids::SubmissionId| match id {
--- a/tests/unit/dispatching/callers.rs
+++ b/tests/unit/dispatching/callers.rs
@@ -63,7 +63,7 @@
         }
         let number = self.callers.len();
         let has_ticket = self.entries.len() == 1 || self.rng.random_range(0..2) == 0;
-        let order = api::TicketRequest { count: 1 };
+        let order = api::TicketOrder { count: 1 };
         let core = &mut self.entries[entry].core;
         let ticket = has_ticket.then(|| core.tickets(self.now_ms, &order).tickets.remove(0));
         let tasks = self.rng.random_range(1..5);
