--- a/standins/src/bin/standin-demo.rs
+++ b/standins/src/bin/standin-demo.rs
@@ -1,4 +1,4 @@
-//! The whole path on one machine, as separate processes; `./demo` builds and runs it.
+//! Demo of a whole site on one machine, as separate processes; `./demo` builds and runs it.
 
 use std::error;
 use std::fs;
@@ -11,12 +11,12 @@
 use bulrushtiller_standins::site;
 use bulrushtiller_standins::worker;
 
-type Outcome<T> = Result<T, Box<dyn error::Error>>;
+type BoxResult<T> = Result<T, Box<dyn error::Error>>;
 
-/// Longest wait for a daemon's graceful stop.
+/// Maximum time for a daemon's graceful stop.
 const STOP_LIMIT: time::Duration = time::Duration::from_secs(30);
 
-/// The bearer token of the demo's team, and its SHA-256.
+/// Bearer token of the demo's team.
 const TOKEN: &str = "taipa-example-token";
 
 const LIMITS: &str = "[limits]\nmax_job_tasks = 280\n";
@@ -32,7 +32,7 @@
 fn main() -> process::ExitCode {
     match run() {
         Ok(()) => {
-            println!("demo: all of it was seen");
+            println!("demo: all steps succeeded");
             process::ExitCode::SUCCESS
         }
         Err(e) => {
@@ -42,33 +42,33 @@
     }
 }
 
-fn run() -> Outcome<()> {
-    let programs = std::env::current_exe()?;
-    let programs = programs
+fn run() -> BoxResult<()> {
+    let program_folder = std::env::current_exe()?;
+    let program_folder = program_folder
         .parent()
-        .ok_or("the program stands in no folder")?
+        .ok_or("the path of this program has no parent folder")?
         .to_owned();
     let folder = std::env::temp_dir().join(format!("bulrushtiller-demo-{}", process::id()));
     fs::create_dir_all(&folder)?;
-    let mut demo = start(site::Site::new(&programs, &folder))?;
-    demo.show()?;
+    let mut demo = start(site::Site::new(&program_folder, &folder))?;
+    demo.run_scenario()?;
     demo.stop()?;
     fs::remove_dir_all(&folder)?;
     Ok(())
 }
 
-fn start(site: site::Site) -> Outcome<Demo> {
+fn start(site: site::Site) -> BoxResult<Demo> {
     let log = site.log(&[])?;
     println!("demo: log service at {}", log.address());
-    let mut links = site::Endpoints {
+    let mut endpoints = site::Endpoints {
         log: log.address(),
         entries: Vec::new(),
     };
     let mut entries = Vec::new();
     for (name, zone) in [("entry-1", "caxias"), ("entry-2", "bento")] {
-        let entry = site.entry(&site::Location::new(name, zone), &links)?;
+        let entry = site.entry(&site::Location::new(name, zone), &endpoints)?;
         println!("demo: {name} in {zone} at {}", entry.address());
-        links.entries.push(entry.wait_for_address("peers")?);
+        endpoints.entries.push(entry.wait_for_address("peers")?);
         entries.push(entry);
     }
     let mut runners = Vec::new();
@@ -79,8 +79,8 @@
         ("runner-3", "bento"),
     ] {
         let worker = site.worker(&format!("worker-of-{name}"), &[])?;
-        let place = site::Location::new(name, zone);
-        let runner = site.runner(&place, &links, worker.address(), &[])?;
+        let location = site::Location::new(name, zone);
+        let runner = site.runner(&location, &endpoints, worker.address(), &[])?;
         println!("demo: {name} in {zone} at {}", runner.address());
         workers.push(worker);
         runners.push(runner);
@@ -95,27 +95,29 @@
 }
 
 impl Demo {
-    fn show(&self) -> Outcome<()> {
+    fn run_scenario(&self) -> BoxResult<()> {
         self.publish()?;
         self.submit("job before", &["--tasks", "6"])?;
         self.submit("non-idempotent request", &["--request"])?;
         let before = self.starts_in_caxias()?;
         if before == 0 {
-            return Err("nothing started in caxias while it was in service".into());
+            return Err("no task started in caxias while the zone was in service".into());
         }
         self.tool(&["zone", "out", "caxias", "--author", "demo"])?;
-        let out = self.starts_in_caxias()?;
+        let while_out = self.starts_in_caxias()?;
         self.submit("job with caxias out", &["--tasks", "12"])?;
         let after = self.starts_in_caxias()?;
-        println!("demo: starts in caxias: {before} before, {out} when out, {after} after the job");
-        if after != out {
-            return Err("a task started in a zone that was out of service".into());
+        println!(
+            "demo: starts in caxias: {before} before, {while_out} when out, {after} after the job"
+        );
+        if after != while_out {
+            return Err("a task started in caxias while the zone was out of service".into());
         }
         self.tool(&["status"])?;
         Ok(())
     }
 
-    fn publish(&self) -> Outcome<()> {
+    fn publish(&self) -> BoxResult<()> {
         let folder = self.site.folder().join("settings");
         fs::create_dir_all(&folder)?;
         let hash = self.tool(&["token", "hash", TOKEN])?;
@@ -134,8 +136,8 @@
         Ok(())
     }
 
-    fn submit(&self, what: &str, more: &[&str]) -> Outcome<()> {
-        println!("demo: {what}");
+    fn submit(&self, description: &str, extra_args: &[&str]) -> BoxResult<()> {
+        println!("demo: {description}");
         let mut args = vec![
             "submit",
             "--payload",
@@ -143,23 +145,23 @@
             "--run-ms",
             "120",
         ];
-        args.extend(more);
+        args.extend(extra_args);
         let began = time::Instant::now();
         self.tool(&args)?;
         println!(
-            "demo: {what} answered after {} ms",
+            "demo: {description} answered after {} ms",
             began.elapsed().as_millis()
         );
         Ok(())
     }
 
-    /// Runs the shipped tool as an operator would, and shows what it prints.
-    fn tool(&self, args: &[&str]) -> Outcome<String> {
+    /// Runs the command-line tool as an operator would; prints and returns its output.
+    fn tool(&self, args: &[&str]) -> BoxResult<String> {
         println!("$ bulrushtiller {}", args.join(" "));
         let addresses: Vec<_> = self
             .entries
             .iter()
-            .map(|one| one.address().to_string())
+            .map(|daemon| daemon.address().to_string())
             .collect();
         let output = process::Command::new(self.site.program("bulrushtiller"))
             .args(args)
@@ -171,44 +173,44 @@
         print!("{text}");
         eprint!("{}", String::from_utf8_lossy(&output.stderr));
         if !output.status.success() {
-            return Err(format!("'{}' ended with {}", args.join(" "), output.status).into());
+            return Err(format!("'{}' exited with {}", args.join(" "), output.status).into());
         }
         Ok(text)
     }
 
-    fn starts_in_caxias(&self) -> Outcome<usize> {
+    fn starts_in_caxias(&self) -> BoxResult<usize> {
         let mut starts = 0;
         for worker in &self.workers[..2] {
-            starts += starts_at(worker)?;
+            starts += start_count(worker)?;
         }
         Ok(starts)
     }
 
-    /// Stops the daemons as an operator's tools would, entries last.
-    fn stop(&mut self) -> Outcome<()> {
-        for one in self.runners.iter_mut().chain(&mut self.entries) {
-            one.terminate()?;
-            let status = one.wait_exit(STOP_LIMIT)?;
-            let name = one.name();
+    /// Stops the daemons with SIGTERM, entries last.
+    fn stop(&mut self) -> BoxResult<()> {
+        for daemon in self.runners.iter_mut().chain(&mut self.entries) {
+            daemon.terminate()?;
+            let status = daemon.wait_exit(STOP_LIMIT)?;
+            let name = daemon.name();
             match status {
                 Some(status) if status.success() => println!("demo: {name} stopped gracefully"),
-                Some(status) => return Err(format!("{name} ended with {status}").into()),
-                None => return Err(format!("{name} did not stop").into()),
+                Some(status) => return Err(format!("{name} exited with {status}").into()),
+                None => return Err(format!("{name} did not stop within the time limit").into()),
             }
         }
-        // The stand-ins are killed when dropped.
+        // The log and the workers are killed when dropped.
         thread::yield_now();
         Ok(())
     }
 }
 
-fn utf8(path: &path::Path) -> Outcome<&str> {
+fn utf8(path: &path::Path) -> BoxResult<&str> {
     path.to_str()
-        .ok_or_else(|| "the temporary folder's path is not UTF-8".into())
+        .ok_or_else(|| "the path of the temporary folder is not valid UTF-8".into())
 }
 
-/// How many tasks a worker has started.
-fn starts_at(worker: &processes::Process) -> Outcome<usize> {
+/// Returns the number of tasks that a worker has started.
+fn start_count(worker: &processes::Process) -> BoxResult<usize> {
     let url = format!("http://{}/v1/journal?from=0", worker.address());
     let journal: worker::Journal = actix_rt::System::new().block_on(async move {
         let mut response = awc::Client::new()
@@ -225,6 +227,6 @@
     let starts = journal
         .entries
         .iter()
-        .filter(|one| one.event == worker::Event::Start);
+        .filter(|entry| entry.event == worker::Event::Start);
     Ok(starts.count())
 }
--- a/standins/src/bin/standin-log.rs
+++ b/standins/src/bin/standin-log.rs
@@ -1,4 +1,4 @@
-//! The log service's stand-in as a process.
+//! Stand-in for the log service, as a process.
 
 use std::io;
 use std::process;
@@ -10,10 +10,10 @@
 Usage: standin-log [options]
 
   --listen IP:PORT       default 127.0.0.1:0, a port from the OS
-  --retention RECORDS    records kept of each stream; default all
-  --retention-ms MS      age up to which records are kept; default any
-  --append-ms MS         time that an append takes; default 4
-  --appends-per-s N      appends above this get 503; default 400
+  --retention RECORDS    maximum records per stream; default unlimited
+  --retention-ms MS      maximum age of records; default unlimited
+  --append-ms MS         duration of an append; default 4
+  --appends-per-s N      appends beyond this rate get 503; default 400
 ";
 
 fn main() -> process::ExitCode {
@@ -38,6 +38,6 @@
 
 async fn run(options: log_service::Options) -> io::Result<()> {
     let service = log_service::LogService::start(options)?;
-    command::announce("listening", service.address())?;
+    command::print_address("listening", service.address())?;
     service.finished().await
 }
--- a/standins/src/bin/standin-naive.rs
+++ b/standins/src/bin/standin-naive.rs
@@ -1,4 +1,4 @@
-//! A naive dispatcher, as a process.
+//! Naive dispatcher, as a process.
 
 use std::io;
 use std::net;
@@ -10,13 +10,13 @@
 const USAGE: &str = "\
 Usage: standin-naive --workers IP:PORT,... [options]
 
-Takes callers' calls like an entry (/v1/tickets, /v1/jobs, /v1/submissions/ID) and hands
-each task to a worker drawn at random, first come first served, without any bound. For
+Serves callers like an entry (/v1/tickets, /v1/jobs, /v1/submissions/ID) and sends each
+task to a worker drawn at random, in order of arrival and with unbounded queues. For
 comparisons only: 'bulrushtiller load' runs against it as against entries.
 
   --listen IP:PORT     default 127.0.0.1:0, a port from the OS
-  --slots N            tasks at once on each worker; default 8
-  --seed N             decides which worker each task goes to; default 1
+  --slots N            concurrent tasks on each worker; default 8
+  --seed N             seed of the random choice of workers; default 1
 ";
 
 fn main() -> process::ExitCode {
@@ -25,7 +25,7 @@
 
 fn read(args: &mut pico_args::Arguments) -> Result<naive::Options, pico_args::Error> {
     let mut options = naive::Options {
-        workers: args.value_from_fn("--workers", workers)?,
+        workers: args.value_from_fn("--workers", parse_workers)?,
         ..naive::Options::default()
     };
     if let Some(listen) = args.opt_value_from_str("--listen")? {
@@ -40,12 +40,12 @@
     Ok(options)
 }
 
-fn workers(text: &str) -> Result<Vec<net::SocketAddr>, net::AddrParseError> {
+fn parse_workers(text: &str) -> Result<Vec<net::SocketAddr>, net::AddrParseError> {
     text.split(',').map(str::parse).collect()
 }
 
 async fn run(options: naive::Options) -> io::Result<()> {
     let naive = naive::Naive::start(&options)?;
-    command::announce("listening", naive.address())?;
+    command::print_address("listening", naive.address())?;
     naive.finished().await
 }
--- a/standins/src/bin/standin-relay.rs
+++ b/standins/src/bin/standin-relay.rs
@@ -1,4 +1,4 @@
-//! The TCP relay as a process.
+//! TCP relay, as a process.
 
 use std::io;
 use std::net;
@@ -10,9 +10,9 @@
 const USAGE: &str = "\
 Usage: standin-relay --to IP:PORT [options]
 
-  --to IP:PORT         where connections are passed on to
+  --to IP:PORT         target of the connections
   --listen IP:PORT     default 127.0.0.1:0, a port from the OS
-  --control IP:PORT    where `POST /control` is served; default 127.0.0.1:0
+  --control IP:PORT    listen address of `POST /control`; default 127.0.0.1:0
 ";
 
 struct Options {
@@ -38,7 +38,7 @@
 async fn run(options: Options) -> io::Result<()> {
     let relay = relay::Relay::start(options.listen, options.to).await?;
     let control = relay.serve_control(options.control)?;
-    command::announce("control", control.address())?;
-    command::announce("listening", relay.address())?;
+    command::print_address("control", control.address())?;
+    command::print_address("listening", relay.address())?;
     control.finished().await
 }
--- a/standins/src/bin/standin-site.rs
+++ b/standins/src/bin/standin-site.rs
@@ -1,4 +1,4 @@
-//! Runs a command beside a site of separate processes, for trials and measurements.
+//! Runs a command against a site of separate processes, for trials and measurements.
 
 use std::env;
 use std::error;
@@ -14,38 +14,38 @@
 use bulrushtiller_standins::site;
 
 const USAGE: &str = "\
-Runs a command beside a site of separate processes on loopback: the log service,
+Runs a command against a site of separate processes on loopback: the log service,
 entries, runners, and a worker for each runner.
 
 Usage: standin-site [options] -- COMMAND [ARGS]
 
 The command finds the site by BULRUSHTILLER_ENTRIES, BULRUSHTILLER_LOG,
 BULRUSHTILLER_TOKEN, SITE_FOLDER (the processes' logs), SITE_LOG, SITE_PEERS,
-SITE_RUNNERS and SITE_WORKERS. The programs are taken from the folder of this one. Its
-exit status is the command's.
+SITE_RUNNERS and SITE_WORKERS. The programs are taken from the folder of this program. The
+exit status is that of the command.
 
   --entries N        default 3
   --runners N        of 8 slots each; default 11
-  --zones A,B,...    default caxias,bento,vacaria,cambara; dealt out in turn
-  --settings FOLDER  published beside a file with the team 'trial'
+  --zones A,B,...    default caxias,bento,vacaria,cambara; assigned in turn
+  --settings FOLDER  published with an additional file for the team 'trial'
 ";
 
-/// Bearer token of the team that is always there.
+/// Bearer token of the team `trial`, which every site has.
 const TOKEN: &str = "trial-token";
 
-/// Longest wait until all processes know each other and the settings.
-const START_LIMIT: time::Duration = time::Duration::from_secs(60);
+/// Maximum time until all processes report fresh state.
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Pause between two looks at them.
-const POLL: time::Duration = time::Duration::from_millis(200);
+/// Interval between two checks of the processes.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(200);
 
-/// Longest wait for a daemon's graceful stop.
-const STOP_LIMIT: time::Duration = time::Duration::from_secs(60);
+/// Maximum time for a daemon's graceful stop.
+const STOP_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// Exit status after a wrong command line.
+/// Exit status for an invalid command line.
 const USAGE_STATUS: u8 = 2;
 
-type Outcome<T> = Result<T, Box<dyn error::Error>>;
+type BoxResult<T> = Result<T, Box<dyn error::Error>>;
 
 struct Options {
     entries: usize,
@@ -56,9 +56,9 @@
 }
 
 impl Options {
-    fn parse(argv: Vec<ffi::OsString>) -> Outcome<Self> {
-        let mut own = argv.into_iter();
-        let before: Vec<_> = own.by_ref().take_while(|word| word != "--").collect();
+    fn parse(argv: Vec<ffi::OsString>) -> BoxResult<Self> {
+        let mut rest = argv.into_iter();
+        let before: Vec<_> = rest.by_ref().take_while(|arg| arg != "--").collect();
         let mut args = pico_args::Arguments::from_vec(before);
         let zones: Option<String> = args.opt_value_from_str("--zones")?;
         let zones = zones.unwrap_or_else(|| "caxias,bento,vacaria,cambara".to_owned());
@@ -67,19 +67,19 @@
             runners: args.opt_value_from_str("--runners")?.unwrap_or(11),
             zones: zones.split(',').map(str::to_owned).collect(),
             settings: args.opt_value_from_str("--settings")?,
-            command: own.collect(),
+            command: rest.collect(),
         };
         if let Some(extra) = args.finish().first() {
-            return Err(format!("unexpected '{}'", extra.display()).into());
+            return Err(format!("unexpected argument '{}'", extra.display()).into());
         }
         if options.command.is_empty() || options.entries == 0 {
-            return Err("a command and an entry are needed".into());
+            return Err("a command and at least one entry are required".into());
         }
         Ok(options)
     }
 }
 
-struct Running {
+struct RunningSite {
     site: site::Site,
     log: processes::Process,
     entries: Vec<processes::Process>,
@@ -91,7 +91,7 @@
     let argv: Vec<_> = env::args_os().skip(1).collect();
     if argv
         .first()
-        .is_some_and(|word| word == "--help" || word == "-h")
+        .is_some_and(|arg| arg == "--help" || arg == "-h")
     {
         print!("{USAGE}");
         return process::ExitCode::SUCCESS;
@@ -112,15 +112,20 @@
     }
 }
 
-fn run(options: &Options) -> Outcome<process::ExitCode> {
+fn run(options: &Options) -> BoxResult<process::ExitCode> {
     let programs = env::current_exe()?;
-    let programs = programs.parent().ok_or("the program stands in no folder")?;
+    let programs = programs
+        .parent()
+        .ok_or("the path of this program has no parent folder")?;
     let folder = env::temp_dir().join(format!("bulrushtiller-site-{}", process::id()));
     fs::create_dir_all(&folder)?;
     let mut running = start(options, site::Site::new(programs, &folder))?;
     running.publish(options.settings.as_deref())?;
     running.wait_until_serving()?;
-    let (program, args) = options.command.split_first().ok_or("a command is needed")?;
+    let (program, args) = options
+        .command
+        .split_first()
+        .ok_or("a command is required")?;
     let status = running.command(program).args(args).status()?;
     running.stop()?;
     fs::remove_dir_all(&folder)?;
@@ -128,28 +133,31 @@
     Ok(code.map_or(process::ExitCode::FAILURE, process::ExitCode::from))
 }
 
-fn start(options: &Options, site: site::Site) -> Outcome<Running> {
+fn start(options: &Options, site: site::Site) -> BoxResult<RunningSite> {
     let log = site.log(&[])?;
-    let mut links = site::Endpoints {
+    let mut endpoints = site::Endpoints {
         log: log.address(),
         entries: Vec::new(),
     };
     let zones = options.zones.iter().cycle();
     let mut entries = Vec::new();
     for (at, zone) in (1..=options.entries).zip(zones.clone()) {
-        let entry = site.entry(&site::Location::new(&format!("entry-{at}"), zone), &links)?;
-        links.entries.push(entry.wait_for_address("peers")?);
+        let entry = site.entry(
+            &site::Location::new(&format!("entry-{at}"), zone),
+            &endpoints,
+        )?;
+        endpoints.entries.push(entry.wait_for_address("peers")?);
         entries.push(entry);
     }
     let mut runners = Vec::new();
     let mut workers = Vec::new();
     for (at, zone) in (1..=options.runners).zip(zones) {
         let worker = site.worker(&format!("worker-{at}"), &[])?;
-        let place = site::Location::new(&format!("runner-{at}"), zone);
-        runners.push(site.runner(&place, &links, worker.address(), &[])?);
+        let location = site::Location::new(&format!("runner-{at}"), zone);
+        runners.push(site.runner(&location, &endpoints, worker.address(), &[])?);
         workers.push(worker);
     }
-    Ok(Running {
+    Ok(RunningSite {
         site,
         log,
         entries,
@@ -159,16 +167,17 @@
 }
 
 fn addresses(processes: &[processes::Process]) -> String {
-    let all = processes.iter().map(|one| one.address().to_string());
+    let all = processes.iter().map(|child| child.address().to_string());
     all.collect::<Vec<_>>().join(",")
 }
 
-impl Running {
-    /// A command that finds the site, with the site's programs first in its path.
+impl RunningSite {
+    /// Creates a command with the site's addresses in its environment and the site's programs
+    /// first in `PATH`.
     fn command(&self, program: &ffi::OsStr) -> process::Command {
-        let own = self.site.program("");
+        let program_folder = self.site.program("");
         let path = env::var_os("PATH").unwrap_or_default();
-        let path = env::join_paths(std::iter::once(own).chain(env::split_paths(&path)));
+        let path = env::join_paths(std::iter::once(program_folder).chain(env::split_paths(&path)));
         let mut command = process::Command::new(program);
         if let Ok(path) = path {
             command.env("PATH", path);
@@ -176,7 +185,7 @@
         let peers: Vec<_> = self
             .entries
             .iter()
-            .filter_map(|one| one.wait_for_address("peers").ok())
+            .filter_map(|entry| entry.wait_for_address("peers").ok())
             .map(|address| address.to_string())
             .collect();
         command
@@ -191,19 +200,19 @@
         command
     }
 
-    /// Runs the shipped tool and gives what it prints.
-    fn tool(&self, args: &[&str]) -> Outcome<String> {
+    /// Runs the command-line tool and returns its output.
+    fn tool(&self, args: &[&str]) -> BoxResult<String> {
         let program = self.site.program("bulrushtiller");
         let output = self.command(program.as_os_str()).args(args).output()?;
         if output.status.success() {
             return Ok(String::from_utf8(output.stdout)?);
         }
-        let why = String::from_utf8_lossy(&output.stderr).into_owned();
-        let said = String::from_utf8_lossy(&output.stdout).into_owned();
-        Err(format!("'{}': {said}{why}", args.join(" ")).into())
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stdout = String::from_utf8_lossy(&output.stdout).into_owned();
+        Err(format!("'{}': {stdout}{stderr}", args.join(" ")).into())
     }
 
-    fn publish(&self, settings: Option<&path::Path>) -> Outcome<()> {
+    fn publish(&self, settings: Option<&path::Path>) -> BoxResult<()> {
         let folder = self.site.folder().join("settings");
         fs::create_dir_all(&folder)?;
         if let Some(settings) = settings {
@@ -215,40 +224,44 @@
         let hash = self.tool(&["token", "hash", TOKEN])?;
         let mut f = fs::File::create(folder.join("95-trial.toml"))?;
         writeln!(f, "[teams.trial]\ntoken_sha256 = [\"{}\"]", hash.trim())?;
-        let path = folder.to_str().ok_or("the folder's path is not UTF-8")?;
+        let path = folder
+            .to_str()
+            .ok_or("the path of the temporary folder is not valid UTF-8")?;
         self.tool(&["config", "sync", path, "--wait", "--author", "trial"])?;
         Ok(())
     }
 
-    /// Waits until every entry knows every runner, and all are fresh.
-    fn wait_until_serving(&self) -> Outcome<()> {
-        let until = time::Instant::now() + START_LIMIT;
-        let wanted = self.entries.len() + self.runners.len();
+    /// Waits until the status reports every entry and every runner as fresh.
+    fn wait_until_serving(&self) -> BoxResult<()> {
+        let until = time::Instant::now() + START_TIMEOUT;
+        let expected = self.entries.len() + self.runners.len();
         loop {
             let text = self.tool(&["status", "--json"])?;
             let processes: Vec<serde_json::Value> = serde_json::from_str(&text)?;
-            let ready = processes.iter().filter(|one| one["fresh"] == true);
-            if ready.count() >= wanted {
+            let ready = processes.iter().filter(|row| row["fresh"] == true);
+            if ready.count() >= expected {
                 return Ok(());
             }
             if time::Instant::now() > until {
-                return Err(format!("not all serve: {text}").into());
+                return Err(
+                    format!("not all processes serve within the start timeout: {text}").into(),
+                );
             }
-            thread::sleep(POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Stops the daemons as an operator's tools would, entries last.
-    fn stop(&mut self) -> Outcome<()> {
-        for one in self.runners.iter_mut().chain(&mut self.entries) {
-            one.terminate()?;
+    /// Stops the daemons with SIGTERM and waits for their exit, entries last.
+    fn stop(&mut self) -> BoxResult<()> {
+        for daemon in self.runners.iter_mut().chain(&mut self.entries) {
+            daemon.terminate()?;
         }
-        for one in self.runners.iter_mut().chain(&mut self.entries) {
-            if one.wait_exit(STOP_LIMIT)?.is_none() {
-                return Err(format!("{} did not stop", one.name()).into());
+        for daemon in self.runners.iter_mut().chain(&mut self.entries) {
+            if daemon.wait_exit(STOP_TIMEOUT)?.is_none() {
+                return Err(format!("{} did not stop within the time limit", daemon.name()).into());
             }
         }
-        // The stand-ins have nothing to finish.
+        // The workers have nothing to finish and are killed.
         self.workers.clear();
         Ok(())
     }
--- a/standins/src/bin/standin-worker.rs
+++ b/standins/src/bin/standin-worker.rs
@@ -1,4 +1,4 @@
-//! A worker with its backend server, as a process.
+//! Stand-in for a worker with its backend server, as a process.
 
 use std::io;
 use std::process;
@@ -15,7 +15,7 @@
   --accelerators N     default 0
   --usage-lag-ms MS    age of usage reports; default 500
   --speed FACTOR       0.1 runs everything ten times slower; default 1
-  --fail-all           fail every task as soon as it is started
+  --fail-all           fail every task as soon as it starts
 ";
 
 fn main() -> process::ExitCode {
@@ -39,21 +39,21 @@
     if let Some(ms) = args.opt_value_from_str("--usage-lag-ms")? {
         options.usage_lag_ms = ms;
     }
-    if let Some(speed) = args.opt_value_from_fn("--speed", speed)? {
+    if let Some(speed) = args.opt_value_from_fn("--speed", parse_speed)? {
         options.speed = speed;
     }
     options.fail_all = args.contains("--fail-all");
     Ok(options)
 }
 
-fn speed(text: &str) -> Result<f64, &'static str> {
-    let speed: f64 = text.parse().map_err(|_bad| "not a number")?;
-    let good = speed.is_finite() && speed > 0.0;
-    good.then_some(speed).ok_or("must be above 0")
+fn parse_speed(text: &str) -> Result<f64, &'static str> {
+    let speed: f64 = text.parse().map_err(|_invalid| "must be a number")?;
+    let is_valid = speed.is_finite() && speed > 0.0;
+    is_valid.then_some(speed).ok_or("must be above 0")
 }
 
 async fn run(options: worker::Options) -> io::Result<()> {
     let worker = worker::Worker::start(options)?;
-    command::announce("listening", worker.address())?;
+    command::print_address("listening", worker.address())?;
     worker.finished().await
 }
--- a/standins/src/command.rs
+++ b/standins/src/command.rs
@@ -1,4 +1,4 @@
-//! What the thin binaries share: options, the ready line and exit statuses.
+//! Command-line handling shared by the binaries: options, address lines and exit statuses.
 
 use std::future;
 use std::io;
@@ -6,14 +6,16 @@
 use std::net;
 use std::process;
 
-/// Where a stand-in listens when nothing else is said: a port from the OS.
+/// Default listen address: loopback, with a port chosen by the operating system.
 pub const ANY_PORT: net::SocketAddr =
     net::SocketAddr::new(net::IpAddr::V4(net::Ipv4Addr::LOCALHOST), 0);
 
-/// Exit status after a wrong command line.
+/// Exit status for an invalid command line.
 const USAGE_STATUS: u8 = 2;
 
-/// Reads the options and runs until `run` ends.
+/// Parses the options with `read` and runs `run` to completion.
+///
+/// Prints `usage` on `--help` and, after the reason, on an invalid command line.
 pub fn main<O, R, F>(
     usage: &str,
     read: fn(&mut pico_args::Arguments) -> Result<O, pico_args::Error>,
@@ -30,10 +32,10 @@
     }
     let options = match read(&mut args) {
         Ok(options) => options,
-        Err(err) => return wrong(usage, &err.to_string()),
+        Err(err) => return usage_error(usage, &err.to_string()),
     };
     if let Some(extra) = args.finish().first() {
-        return wrong(usage, &format!("unexpected '{}'", extra.display()));
+        return usage_error(usage, &format!("unexpected argument '{}'", extra.display()));
     }
     match actix_rt::System::new().block_on(run(options)) {
         Ok(()) => process::ExitCode::SUCCESS,
@@ -44,14 +46,14 @@
     }
 }
 
-fn wrong(usage: &str, reason: &str) -> process::ExitCode {
+fn usage_error(usage: &str, reason: &str) -> process::ExitCode {
     eprint!("{reason}\n\n{usage}");
     process::ExitCode::from(USAGE_STATUS)
 }
 
-/// Prints `WORD IP:PORT`, from which whoever started the process learns a port.
-pub fn announce(word: &str, address: net::SocketAddr) -> io::Result<()> {
+/// Prints `LABEL IP:PORT`, from which the parent process reads the port in use.
+pub fn print_address(label: &str, address: net::SocketAddr) -> io::Result<()> {
     let mut out = io::stdout().lock();
-    writeln!(out, "{word} {address}")?;
+    writeln!(out, "{label} {address}")?;
     out.flush()
 }
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,8 +1,7 @@
-//! Small stand-ins for what the platform provides, and a naive dispatcher to compare with;
-//! used by tests, measurements and the demo only.
+//! Stand-ins for the services of the platform, and a naive dispatcher as a baseline.
 //!
-//! Nothing here is part of the product: the crate does not depend on it, and no
-//! release binary contains any of this.
+//! Tests, measurements and the demo use this crate. The product does not depend on it, and
+//! no release binary contains any of it.
 
 #[macro_use]
 extern crate quick_error;
@@ -19,7 +18,7 @@
 
 use std::sync;
 
-/// Locks, also after a panic of another holder: a test has failed then anyway.
+/// Locks a mutex and ignores poisoning: a panic in another thread has already failed the test.
 fn lock<T>(mutex: &sync::Mutex<T>) -> sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(sync::PoisonError::into_inner)
 }
--- a/standins/src/log_service/mod.rs
+++ b/standins/src/log_service/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in for the platform's log service; `docs/LOG-SERVICE.md` is its page.
+//! Stand-in for the platform's log service; `docs/LOG-SERVICE.md` describes its API.
 //!
-//! `POST /control` switches its faults: `{"mode": "down"}`,
-//! `{"mode": "slow", "slow_ms": 300}`, or `{"expire_to": 5, "stream": "settings"}`;
-//! `GET /control` gives the mode and how many appends took effect.
+//! `POST /control` injects faults: `{"mode": "down"}`, `{"mode": "slow", "slow_ms": 300}`, or
+//! `{"expire_to": 5, "stream": "settings"}`. `GET /control` returns the mode and the number
+//! of appends that took effect.
 
 pub mod streams;
 
@@ -24,25 +24,25 @@
 use crate::lock;
 use crate::server;
 
-/// Records in an answer when the reader names no `max`.
-const DEFAULT_MAX: usize = 1000;
+/// Default maximum number of records in a page, for reads without `max`.
+const DEFAULT_MAX_RECORDS: usize = 1000;
 
-/// Milliseconds that a synced append takes when nothing else is said.
+/// Default duration of a synced append, in milliseconds.
 const DEFAULT_APPEND_MS: u64 = 4;
 
-/// Appends a second when nothing else is said.
+/// Default limit of appends per second.
 const DEFAULT_APPENDS_PER_S: u32 = 400;
 
-/// How the stand-in is set up.
+/// Options of the log service.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Where it listens.
+    /// Listen address.
     pub listen: net::SocketAddr,
-    /// What is kept.
+    /// Retention of all streams.
     pub retention: streams::Retention,
-    /// Milliseconds that an append takes.
+    /// Duration of an append, in milliseconds.
     pub append_ms: u64,
-    /// Appends taken a second, a second's worth of them at once; more get 503.
+    /// Maximum number of appends per second, which is also the burst size; more get 503.
     pub appends_per_s: u32,
 }
 
@@ -57,55 +57,55 @@
     }
 }
 
-/// How the service behaves at the moment.
+/// Fault mode of the service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mode {
-    /// As it should.
+    /// Normal operation.
     #[default]
     Up,
-    /// Everything but the control call is answered with 503.
+    /// All calls but `/control` are answered with 503.
     Down,
-    /// Every call is held back for `slow_ms` first.
+    /// Every call is delayed by `slow_ms`.
     Slow,
     /// Appends take effect, then the connection is closed without an answer.
     LoseAnswers,
-    /// The next append takes effect and is answered; then the service is down at
-    /// once, so that no reader sees the record.
+    /// The next append takes effect and is answered. The service is down right after it, so
+    /// that no reader receives the record.
     DownAfterAppend,
 }
 
-/// `POST /control`; what is absent stays as it is.
+/// Body of `POST /control`; absent fields leave their values unchanged.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// The mode from now on.
+    /// New mode.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub mode: Option<Mode>,
-    /// Milliseconds by which [`Mode::Slow`] holds calls back.
+    /// Delay of each call under [`Mode::Slow`], in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slow_ms: Option<u64>,
-    /// Expires the records of `stream` below this offset.
+    /// Offset below which the records of `stream` expire.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub expire_to: Option<u64>,
-    /// The stream that `expire_to` is about.
+    /// Stream that `expire_to` applies to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stream: Option<String>,
 }
 
-/// `GET /control`.
+/// Answer to `GET /control`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Report {
-    /// The mode now.
+    /// Current mode.
     pub mode: Mode,
-    /// Appends that took effect, answered or not.
+    /// Number of appends that took effect, answered or not.
     pub appends: u64,
-    /// Appends refused with 503 because they came too fast.
+    /// Number of appends refused with 503 for exceeding the rate.
     pub over_rate: u64,
-    /// Reads begun.
+    /// Number of reads started.
     pub reads: u64,
 }
 
@@ -114,16 +114,18 @@
     streams: streams::Streams,
     slow_ms: u64,
     tokens: f64,
-    filled_ms: u64,
+    refilled_at_ms: u64,
     report: Report,
 }
 
 impl State {
-    /// Takes one append from the bucket, which refills at the capped rate.
+    /// Takes the token for one append from the bucket, which refills at `per_s`.
+    ///
+    /// Returns `false` if the bucket is empty.
     fn take_token(&mut self, per_s: u32, now_ms: u64) -> bool {
-        let gained = (now_ms - self.filled_ms) as f64 * f64::from(per_s) / 1000.0;
-        self.filled_ms = now_ms;
-        self.tokens = (self.tokens + gained).min(f64::from(per_s));
+        let added = (now_ms - self.refilled_at_ms) as f64 * f64::from(per_s) / 1000.0;
+        self.refilled_at_ms = now_ms;
+        self.tokens = (self.tokens + added).min(f64::from(per_s));
         if self.tokens < 1.0 {
             self.report.over_rate += 1;
             return false;
@@ -147,7 +149,7 @@
             streams: streams::Streams::new(options.retention),
             slow_ms: 0,
             tokens: f64::from(options.appends_per_s),
-            filled_ms: 0,
+            refilled_at_ms: 0,
             report: Report::default(),
         };
         Self {
@@ -166,8 +168,8 @@
         lock(&self.state).report.mode == Mode::Down
     }
 
-    /// Holds a call back while the service is slow.
-    async fn hold_back(&self) {
+    /// Delays a call under [`Mode::Slow`].
+    async fn delay_if_slow(&self) {
         let slow_ms = {
             let state = lock(&self.state);
             if state.report.mode == Mode::Slow {
@@ -194,7 +196,8 @@
         self.changed.send_replace(());
     }
 
-    /// Appends unless the service is down, and gives the mode it was done in.
+    /// Appends a record and returns its offset and the mode; returns `None` if the service is
+    /// down.
     fn append(&self, name: &str, record: serde_json::Value) -> Option<(u64, Mode)> {
         let now_ms = self.now_ms();
         let mut state = lock(&self.state);
@@ -214,7 +217,7 @@
 
     fn read(&self, name: &str, query: &ReadQuery) -> Option<streams::Page> {
         let now_ms = self.now_ms();
-        let max = query.max.unwrap_or(DEFAULT_MAX);
+        let max = query.max.unwrap_or(DEFAULT_MAX_RECORDS);
         let mut state = lock(&self.state);
         let up = state.report.mode != Mode::Down;
         up.then(|| state.streams.read(name, query.from, max, now_ms))
@@ -235,7 +238,7 @@
 }
 
 impl LogService {
-    /// Listens and serves; needs a running actix system.
+    /// Binds the address and starts to serve. Requires a running actix system.
     pub fn start(options: Options) -> io::Result<Self> {
         let shared = sync::Arc::new(Shared::new(options));
         let data = web::Data::from(sync::Arc::clone(&shared));
@@ -249,17 +252,17 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the service listens on.
     pub const fn address(&self) -> net::SocketAddr {
         self.server.address()
     }
 
-    /// The same as `POST /control`.
+    /// Does the same as `POST /control`.
     pub fn control(&self, control: &Control) {
         self.shared.control(control);
     }
 
-    /// Changes only the mode.
+    /// Sets the mode only.
     pub fn set_mode(&self, mode: Mode) {
         let control = Control {
             mode: Some(mode),
@@ -268,17 +271,17 @@
         self.shared.control(&control);
     }
 
-    /// The same as `GET /control`.
+    /// Returns the same as `GET /control`.
     pub fn report(&self) -> Report {
         lock(&self.shared.state).report
     }
 
-    /// Stops it; its records are gone then.
+    /// Stops the service and discards its records.
     pub async fn stop(self) {
         self.server.stop().await;
     }
 
-    /// Waits until it has ended.
+    /// Waits until the service has stopped.
     pub async fn finished(self) -> io::Result<()> {
         self.server.finished().await
     }
@@ -294,15 +297,16 @@
     wait_ms: u64,
 }
 
-fn down() -> HttpResponse {
-    server::refusal(StatusCode::SERVICE_UNAVAILABLE, "the log service is down")
+fn unavailable() -> HttpResponse {
+    server::json_error(StatusCode::SERVICE_UNAVAILABLE, "the log service is down")
 }
 
-/// Closes the connection before any byte of an answer: the body fails at its
-/// first poll, before the server has flushed the head.
-fn no_answer() -> HttpResponse {
-    let lost = io::Error::other("the answer is lost");
-    HttpResponse::Ok().streaming(stream::iter([Err::<bytes::Bytes, _>(lost)]))
+/// Closes the connection before any byte of an answer is sent.
+///
+/// The body fails at its first poll, before the server has flushed the head.
+fn close_unanswered() -> HttpResponse {
+    let error = io::Error::other("connection closed without an answer by mode lose_answers");
+    HttpResponse::Ok().streaming(stream::iter([Err::<bytes::Bytes, _>(error)]))
 }
 
 async fn append(
@@ -310,22 +314,25 @@
     name: web::Path<String>,
     body: web::Bytes,
 ) -> HttpResponse {
-    shared.hold_back().await;
+    shared.delay_if_slow().await;
     if shared.is_down() {
-        return down();
+        return unavailable();
     }
     let record = match server::read_json(&body) {
         Ok(record) => record,
-        Err(bad) => return bad.error_response(),
+        Err(err) => return err.error_response(),
     };
     let now_ms = shared.now_ms();
     if !lock(&shared.state).take_token(shared.options.appends_per_s, now_ms) {
-        return server::refusal(StatusCode::SERVICE_UNAVAILABLE, "too many appends");
+        return server::json_error(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the append rate exceeds the limit",
+        );
     }
     sleep_ms(shared.options.append_ms).await;
     match shared.append(&name, record) {
-        None => down(),
-        Some((_, Mode::LoseAnswers)) => no_answer(),
+        None => unavailable(),
+        Some((_, Mode::LoseAnswers)) => close_unanswered(),
         Some((offset, _)) => HttpResponse::Ok().json(serde_json::json!({ "offset": offset })),
     }
 }
@@ -336,20 +343,20 @@
     query: web::Query<ReadQuery>,
 ) -> HttpResponse {
     lock(&shared.state).report.reads += 1;
-    shared.hold_back().await;
+    shared.delay_if_slow().await;
     let limit = time::Duration::from_millis(query.wait_ms);
     let end = tokio::time::Instant::now() + limit;
-    // Subscribed before the first look, so no append falls between look and wait.
+    // Subscribed before the first read, so that no append between read and wait is missed.
     let mut changed = shared.changed.subscribe();
     loop {
         let Some(page) = shared.read(&name, &query) else {
-            return down();
+            return unavailable();
         };
-        let over = tokio::time::Instant::now() >= end;
-        if over || !page.records.is_empty() {
+        let is_timed_out = tokio::time::Instant::now() >= end;
+        if is_timed_out || !page.records.is_empty() {
             return HttpResponse::Ok().json(page);
         }
-        // Either outcome leads to another look.
+        // The stream is read again, whether after an append or at the time-out.
         drop(tokio::time::timeout_at(end, changed.changed()).await);
     }
 }
@@ -360,7 +367,7 @@
             shared.control(&control);
             HttpResponse::Ok().json(lock(&shared.state).report)
         }
-        Err(bad) => bad.error_response(),
+        Err(err) => err.error_response(),
     }
 }
 
--- a/standins/src/log_service/streams.rs
+++ b/standins/src/log_service/streams.rs
@@ -1,27 +1,27 @@
-//! The records of the log stand-in, with their retention; no network, no clock.
+//! Records of the log service and their retention, without network and clock.
 
 use std::collections;
 
 use serde::Serialize;
 
-/// How much is kept of each stream.
+/// Retention of each stream.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Retention {
-    /// At most so many records.
+    /// Maximum number of records; `None` for no limit.
     pub records: Option<usize>,
-    /// No record older than this, in milliseconds.
+    /// Maximum age of a record, in milliseconds; `None` for no limit.
     pub age_ms: Option<u64>,
 }
 
-/// What a read gives.
+/// Result of a read.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Page {
-    /// The oldest offset still kept.
+    /// Offset of the oldest record kept.
     pub first: u64,
-    /// The offset that the next append will get.
+    /// Offset of the next append.
     pub next: u64,
-    /// The records found, in order.
+    /// Records found, in order of offset.
     pub records: Vec<Entry>,
 }
 
@@ -29,9 +29,9 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Entry {
-    /// Its place in the stream.
+    /// Offset in the stream.
     pub offset: u64,
-    /// The document as it was appended.
+    /// Document as it was appended.
     pub record: serde_json::Value,
 }
 
@@ -52,8 +52,8 @@
     }
 
     fn expire(&mut self, retention: Retention, now_ms: u64) {
-        let most = retention.records.unwrap_or(usize::MAX);
-        while self.records.len() > most {
+        let max_records = retention.records.unwrap_or(usize::MAX);
+        while self.records.len() > max_records {
             self.drop_oldest();
         }
         let Some(age_ms) = retention.age_ms else {
@@ -67,7 +67,7 @@
     }
 }
 
-/// All streams by name. Times are milliseconds of one monotonic clock.
+/// All streams by name. Times are in milliseconds of one monotonic clock.
 #[derive(Debug, Default)]
 pub struct Streams {
     retention: Retention,
@@ -75,7 +75,7 @@
 }
 
 impl Streams {
-    /// Empty streams with one retention for all.
+    /// Creates an empty set of streams with one retention for all.
     pub const fn new(retention: Retention) -> Self {
         Self {
             retention,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds a record and gives its offset.
+    /// Appends a record and returns its offset.
     pub fn append(&mut self, name: &str, record: serde_json::Value, now_ms: u64) -> u64 {
         let stream = self.streams.entry(name.to_owned()).or_default();
         let offset = stream.next();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Expires the records below `offset`; never more than there are.
+    /// Removes the records below `offset`; stops at the end of the stream.
     pub fn expire_to(&mut self, name: &str, offset: u64) {
         let Some(stream) = self.streams.get_mut(name) else {
             return;
--- a/standins/src/naive/answers.rs
+++ b/standins/src/naive/answers.rs
@@ -1,4 +1,4 @@
-//! The submissions and their answers, kept for as long as the process lives.
+//! Submissions and their answers, which are kept until the process exits.
 
 use std::collections;
 use std::sync;
@@ -11,28 +11,28 @@
 
 use crate::lock;
 
-/// The number of a complete answer, of one in which a task failed, and of none yet.
+/// Result codes: all tasks ran, not finished yet, a task failed.
 const COMPLETE: u16 = 0;
 const PENDING: u16 = 1;
 const TASK_FAILED: u16 = 200;
 
-/// What became of one task.
+/// Answer for one task.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct TaskAnswer {
-    /// `ran` or `failed`.
+    /// Outcome: `ran` or `failed`.
     pub fate: &'static str,
-    /// The numbered result.
+    /// Result code.
     pub code: u16,
-    /// What the worker put out.
+    /// Output of the task.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub output: Option<String>,
-    /// Milliseconds it ran for.
+    /// Run time, in milliseconds.
     pub run_ms: u64,
 }
 
 impl TaskAnswer {
-    /// It did its work.
+    /// Creates the answer for a task that completed.
     pub(super) const fn ran(output: String, run_ms: u64) -> Self {
         Self {
             fate: "ran",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// It failed, or its worker did not answer.
+    /// Creates the answer for a task that failed or whose worker did not answer.
     pub(super) const fn failed(run_ms: u64) -> Self {
         Self {
             fate: "failed",
@@ -53,20 +53,20 @@
     }
 }
 
-/// An answer in the form of an entry's.
+/// Answer for a submission, in the format of an entry's answer.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Serialize)]
 pub struct Answer {
-    /// Whose it is.
+    /// Id of the submission.
     pub submission: SmolStr,
-    /// The numbered result.
+    /// Result code.
     pub code: u16,
-    /// The same in words.
+    /// Text of the result code.
     pub text: &'static str,
-    /// Whether this is the last word.
+    /// Whether the answer is final.
     #[serde(rename = "final")]
     pub is_final: bool,
-    /// One for each task, in order.
+    /// Answers for the tasks, in order.
     pub tasks: Vec<TaskAnswer>,
 }
 
@@ -90,51 +90,53 @@
     }
 }
 
-/// The tasks' answers, once all are there.
-type Ended = Option<Vec<TaskAnswer>>;
+/// Answers for all tasks; `None` until the last task has ended.
+type TaskAnswers = Option<Vec<TaskAnswer>>;
 
-/// Where the answer of a new submission is put.
+/// Sender of the answer for a new submission.
 #[derive(Debug)]
-pub(super) struct End(watch::Sender<Ended>);
+pub(super) struct AnswerSender(watch::Sender<TaskAnswers>);
 
-impl End {
-    /// Gives the answer to all who wait for it.
+impl AnswerSender {
+    /// Sends the answer to all waiting calls.
     pub(super) fn set(self, tasks: Vec<TaskAnswer>) {
         self.0.send_replace(Some(tasks));
     }
 }
 
-/// All submissions by id.
+/// Answers by id of the submission.
 #[derive(Debug, Default)]
 pub(super) struct Answers {
-    by_id: sync::Mutex<collections::HashMap<SmolStr, watch::Receiver<Ended>>>,
+    by_id: sync::Mutex<collections::HashMap<SmolStr, watch::Receiver<TaskAnswers>>>,
     tickets: atomic::AtomicU64,
 }
 
 impl Answers {
-    /// A ticket in the form of an entry's.
+    /// Creates a ticket in the format of an entry's ticket.
     pub(super) fn ticket(&self) -> String {
         let number = self.tickets.fetch_add(1, atomic::Ordering::Relaxed);
         format!("t:naive:1:1:{number:x}")
     }
 
-    /// Opens a submission; none if it is known already.
-    pub(super) fn open(&self, id: &str) -> Option<End> {
+    /// Registers a submission; returns `None` if the id is known.
+    pub(super) fn register(&self, id: &str) -> Option<AnswerSender> {
         let mut by_id = lock(&self.by_id);
         if by_id.contains_key(id) {
             return None;
         }
         let (tx, rx) = watch::channel(None);
         by_id.insert(SmolStr::new(id), rx);
-        Some(End(tx))
+        Some(AnswerSender(tx))
     }
 
-    /// The final answer, or after `wait` that there is none yet; none: an unknown id.
+    /// Waits for the final answer for at most `wait`; then returns an answer that is not final.
+    ///
+    /// Returns `None` if the id is unknown.
     pub(super) async fn wait(&self, id: &str, wait: time::Duration) -> Option<Answer> {
         let mut rx = lock(&self.by_id).get(id).cloned()?;
-        let ended = rx.wait_for(Option::is_some);
-        let ended = tokio::time::timeout(wait, ended).await;
-        let tasks = ended.ok().and_then(Result::ok);
+        let result = rx.wait_for(Option::is_some);
+        let result = tokio::time::timeout(wait, result).await;
+        let tasks = result.ok().and_then(Result::ok);
         Some(Answer::new(id, tasks.and_then(|tasks| tasks.clone())))
     }
 }
--- a/standins/src/naive/dispatch.rs
+++ b/standins/src/naive/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which worker a task goes to, and when.
+//! Assigns tasks to workers at random and queues them for a slot.
 
 use std::net;
 use std::sync;
@@ -17,14 +17,15 @@
 use crate::lock;
 use crate::worker;
 
-/// Lease of a task, which is never renewed; longer than any task of a measurement.
+/// Lease of a task. It is never renewed, so it is longer than any measured task.
 const LEASE_MS: u64 = 3_600_000;
 
-/// Idle connections are closed before the worker's server does so, or a task could be
-/// sent down a connection that is just being closed.
+/// Idle time after which a connection is closed, below the keep-alive of the worker's server.
+///
+/// Otherwise a task could be sent on a connection that the worker is closing.
 const KEEP_ALIVE: time::Duration = time::Duration::from_secs(1);
 
-/// A client without a bound of its own on connections or time.
+/// Creates a client with no limit on connections and no time-out.
 pub(super) fn client() -> awc::Client {
     let connector = awc::Connector::new().limit(0);
     let connector = connector.conn_keep_alive(KEEP_ALIVE);
@@ -32,61 +33,61 @@
     builder.disable_timeout().finish()
 }
 
-/// One worker and its slots, which are given in the order in which they were asked for.
+/// One worker and its slots, which are granted in order of request.
 #[derive(Debug)]
-struct Server {
+struct WorkerSlots {
     address: net::SocketAddr,
     slots: Semaphore,
 }
 
-/// The workers.
+/// Dispatcher that draws a worker for each task at random.
 #[derive(Debug)]
 pub(super) struct Dispatcher {
-    servers: Vec<Server>,
+    workers: Vec<WorkerSlots>,
     rng: sync::Mutex<rand_chacha::ChaCha8Rng>,
     started: atomic::AtomicU64,
 }
 
 impl Dispatcher {
     pub(super) fn new(options: &Options) -> Self {
-        let server = |address: &net::SocketAddr| Server {
+        let worker_slots = |address: &net::SocketAddr| WorkerSlots {
             address: *address,
             slots: Semaphore::new(options.slots),
         };
         Self {
-            servers: options.workers.iter().map(server).collect(),
+            workers: options.workers.iter().map(worker_slots).collect(),
             rng: sync::Mutex::new(rand_chacha::ChaCha8Rng::seed_from_u64(options.seed)),
             started: atomic::AtomicU64::new(0),
         }
     }
 
-    /// Tasks started so far.
+    /// Returns the number of tasks started.
     pub(super) fn started(&self) -> u64 {
         self.started.load(atomic::Ordering::Relaxed)
     }
 
-    /// Runs the tasks of one submission, all at once as far as there are slots.
+    /// Runs the tasks of one submission concurrently, as far as slots are free.
     pub(super) async fn run(
         &self,
         client: &awc::Client,
         tasks: Vec<Task>,
     ) -> Vec<answers::TaskAnswer> {
-        let drawn = tasks.into_iter().map(|task| {
-            let server = lock(&self.rng).random_range(0..self.servers.len());
-            self.run_one(client, &self.servers[server], task)
+        let runs = tasks.into_iter().map(|task| {
+            let chosen = lock(&self.rng).random_range(0..self.workers.len());
+            self.run_one(client, &self.workers[chosen], task)
         });
-        // They are drawn and queued in order, before the first is polled to its end.
-        future::join_all(drawn).await
+        // Workers are drawn and slots requested in order, before the first task completes.
+        future::join_all(runs).await
     }
 
     async fn run_one(
         &self,
         client: &awc::Client,
-        server: &Server,
+        worker_slots: &WorkerSlots,
         task: Task,
     ) -> answers::TaskAnswer {
-        // Only a closed semaphore gives none, and nobody closes it.
-        let _slot = server.slots.acquire().await.ok();
+        // Fails only on a closed semaphore, and this one is never closed.
+        let _slot = worker_slots.slots.acquire().await.ok();
         let number = self.started.fetch_add(1, atomic::Ordering::Relaxed);
         let order = worker::Order {
             task: format_smolstr!("naive-{number}"),
@@ -98,7 +99,7 @@
             accelerators: task.accelerators,
             lease_ms: LEASE_MS,
         };
-        let url = format!("http://{}/v1/tasks", server.address);
+        let url = format!("http://{}/v1/tasks", worker_slots.address);
         let Ok(mut response) = client.post(url).send_json(&order).await else {
             return answers::TaskAnswer::failed(0);
         };
--- a/standins/src/naive/mod.rs
+++ b/standins/src/naive/mod.rs
@@ -1,9 +1,9 @@
-//! A naive dispatcher, to compare real processes with.
+//! Naive dispatcher, as a baseline for comparisons with the real processes.
 //!
-//! One process takes the same calls as an entry and hands each task to a worker drawn at
-//! random, first come first served, with as many at once as the worker has slots. Nothing
-//! bounds what waits, no deadline is kept, nothing can be cancelled, every answer is kept
-//! and any token will do.
+//! One process serves the same calls as an entry. Each task goes to a worker drawn at random
+//! and is served in order of arrival, with as many concurrent tasks as the worker has slots.
+//! Queues are unbounded, deadlines are ignored, nothing can be cancelled, all answers are
+//! kept and every token is accepted.
 
 mod answers;
 mod dispatch;
@@ -25,22 +25,22 @@
 
 pub use answers::Answer;
 
-/// Tickets in one call, as at an entry.
+/// Maximum number of tickets per call, as at an entry.
 const MAX_TICKETS: u64 = 1000;
 
-/// How long tickets are said to be good; they always are.
+/// Reported validity of tickets, in milliseconds; in fact they never expire.
 const TICKETS_VALID_MS: u64 = 3_600_000;
 
-/// How the dispatcher is set up.
+/// Options of the dispatcher.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where it listens.
+    /// Listen address.
     pub listen: net::SocketAddr,
-    /// The workers; at least one.
+    /// Addresses of the workers; at least one.
     pub workers: Vec<net::SocketAddr>,
-    /// Tasks that run at once on each.
+    /// Maximum number of concurrent tasks on each worker; at least 1.
     pub slots: usize,
-    /// Decides which worker each task goes to.
+    /// Seed of the random choice of workers.
     pub seed: u64,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// `POST /v1/jobs`; further fields are passed over.
+/// Body of `POST /v1/jobs`; other fields are ignored.
 #[derive(Clone, Debug)]
 #[derive(Deserialize)]
 struct Submission {
@@ -66,7 +66,7 @@
     tasks: Vec<Task>,
 }
 
-/// One task of it.
+/// One task of a submission.
 #[derive(Clone, Debug, Default)]
 #[derive(Deserialize)]
 struct Task {
@@ -84,7 +84,7 @@
 
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
-struct TicketOrder {
+struct TicketRequest {
     count: u64,
 }
 
@@ -97,7 +97,7 @@
 
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
-struct Wait {
+struct FetchQuery {
     #[serde(default)]
     wait_ms: u64,
 }
@@ -109,15 +109,19 @@
 }
 
 impl Naive {
-    /// Listens and serves; needs a running actix system.
+    /// Binds the address and starts to serve. Requires a running actix system.
+    ///
+    /// Fails without a worker or with 0 slots.
     pub fn start(options: &Options) -> io::Result<Self> {
         if options.workers.is_empty() || options.slots == 0 {
-            return Err(io::Error::other("a worker and a slot are needed"));
+            return Err(io::Error::other(
+                "at least one worker and one slot are required",
+            ));
         }
         let answers = sync::Arc::new(answers::Answers::default());
         let dispatcher = sync::Arc::new(dispatch::Dispatcher::new(options));
         let server = server::Server::start(options.listen, move |cfg| {
-            // Connections belong to the thread that serves, in which this runs.
+            // The client belongs to the server's thread, in which this closure runs.
             cfg.app_data(web::Data::new(dispatch::client()))
                 .app_data(web::Data::from(sync::Arc::clone(&answers)))
                 .app_data(web::Data::from(sync::Arc::clone(&dispatcher)))
@@ -129,12 +133,12 @@
         Ok(Self { server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the dispatcher listens on.
     pub const fn address(&self) -> net::SocketAddr {
         self.server.address()
     }
 
-    /// Waits until it has ended.
+    /// Waits until the dispatcher has stopped.
     pub async fn finished(self) -> io::Result<()> {
         self.server.finished().await
     }
@@ -143,8 +147,8 @@
 type Reply = Result<HttpResponse, server::BadBody>;
 
 async fn tickets(answers: web::Data<answers::Answers>, body: web::Bytes) -> Reply {
-    let order: TicketOrder = server::read_json(&body)?;
-    let count = order.count.clamp(1, MAX_TICKETS);
+    let request: TicketRequest = server::read_json(&body)?;
+    let count = request.count.clamp(1, MAX_TICKETS);
     let tickets = (0..count).map(|_| answers.ticket()).collect();
     Ok(HttpResponse::Ok().json(Tickets {
         tickets,
@@ -160,15 +164,17 @@
 ) -> Reply {
     let submission: Submission = server::read_json(&body)?;
     if submission.tasks.is_empty() {
-        return Err(server::BadBody::Impossible("a submission has a task"));
+        return Err(server::BadBody::Invalid(
+            "a submission needs at least one task",
+        ));
     }
     let id = submission.submission.clone();
     let id = id.unwrap_or_else(|| answers.ticket().into());
-    // A repeat finds the first one under its id and starts nothing.
-    if let Some(end) = answers.open(&id) {
+    // A repeated submission waits for the answer of the first one and starts nothing.
+    if let Some(sender) = answers.register(&id) {
         let (client, tasks) = (client.get_ref().clone(), submission.tasks);
         let dispatcher = dispatcher.into_inner();
-        actix_rt::spawn(async move { end.set(dispatcher.run(&client, tasks).await) });
+        actix_rt::spawn(async move { sender.set(dispatcher.run(&client, tasks).await) });
     }
     Ok(answer(&answers, &id, submission.wait_ms).await)
 }
@@ -176,9 +182,9 @@
 async fn fetch(
     answers: web::Data<answers::Answers>,
     id: web::Path<SmolStr>,
-    wait: web::Query<Wait>,
+    query: web::Query<FetchQuery>,
 ) -> HttpResponse {
-    answer(&answers, &id, wait.wait_ms).await
+    answer(&answers, &id, query.wait_ms).await
 }
 
 async fn answer(answers: &answers::Answers, id: &str, wait_ms: u64) -> HttpResponse {
@@ -186,11 +192,11 @@
     match answers.wait(id, wait).await {
         Some(answer) if answer.is_final => HttpResponse::Ok().json(answer),
         Some(answer) => HttpResponse::Accepted().json(answer),
-        None => server::refusal(StatusCode::NOT_FOUND, "no such submission"),
+        None => server::json_error(StatusCode::NOT_FOUND, "no such submission"),
     }
 }
 
-/// The counters that a load driver reads from entries; nothing is ever wasted here.
+/// Serves the counters that the load driver reads from entries; no message is wasted here.
 async fn metrics(dispatcher: web::Data<dispatch::Dispatcher>) -> HttpResponse {
     let started = dispatcher.started();
     HttpResponse::Ok().body(format!(
--- a/standins/src/platform/backend.rs
+++ b/standins/src/platform/backend.rs
@@ -1,4 +1,4 @@
-//! A backend server that starts whatever it is told to, under leases, and notes every run.
+//! Backend server that starts every run it is sent, under a lease, and records all runs.
 
 use std::collections;
 use std::sync;
@@ -7,30 +7,30 @@
 use actix_web::web;
 use serde::Deserialize;
 
-/// How often runs are looked at while a list waits.
-const LOOK: time::Duration = time::Duration::from_millis(5);
+/// Interval between two checks for ended runs while a `/hold` call waits.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// Longest lease.
+/// Maximum duration of a lease.
 const MAX_LEASE: time::Duration = time::Duration::from_secs(1);
 
-/// One run, as the backend server saw it.
+/// Record of one run.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The task.
+    /// Id of the task.
     pub task: String,
-    /// The run's number.
+    /// Number of the run within the task.
     pub run: u32,
-    /// When it began.
+    /// Start of the run.
     pub began: time::Instant,
-    /// When its work is done, if nothing ends it before.
+    /// End of the work, unless the run ends earlier.
     due: time::Instant,
-    /// When it ended, and how.
+    /// End of the run and its outcome: `done`, `lapsed`, `stopped` or `crashed`.
     pub ended: Option<(time::Instant, &'static str)>,
 }
 
 #[derive(Debug)]
 struct State {
-    life: Life,
+    incarnation: Incarnation,
     runs: Vec<Run>,
     ends: Vec<(u64, usize)>,
     barred: collections::HashSet<(String, u32)>,
@@ -38,18 +38,18 @@
     fence: u64,
 }
 
-/// One life of it.
+/// One incarnation of the backend server.
 #[derive(Clone, Copy, Debug)]
-struct Life {
-    born_ms: u64,
+struct Incarnation {
+    started_at_ms: u64,
     began: time::Instant,
 }
 
-/// The backend server, shared with the test that looks at it.
+/// Backend server, shared with the test that inspects it.
 #[derive(Debug)]
 pub struct Backend {
     name: String,
-    /// How fast its steady clock goes.
+    /// Rate of the monotonic clock; 1 is real time.
     clock_rate: f64,
     state: sync::Mutex<State>,
 }
@@ -59,7 +59,7 @@
 struct Start {
     task: String,
     run: u32,
-    /// How long it takes, in milliseconds.
+    /// Duration of the work, in milliseconds.
     spec: String,
     deadline_ms: u64,
     fence: u64,
@@ -83,20 +83,20 @@
 }
 
 impl Backend {
-    /// A backend server that has just started.
-    pub fn new(name: &str, born_ms: u64) -> Self {
-        Self::with_clock(name, born_ms, 1.0)
+    /// Creates a backend server with an accurate clock that starts now.
+    pub fn new(name: &str, started_at_ms: u64) -> Self {
+        Self::with_clock(name, started_at_ms, 1.0)
     }
 
-    /// One whose steady clock goes at this rate.
-    pub fn with_clock(name: &str, born_ms: u64, clock_rate: f64) -> Self {
+    /// Creates a backend server whose monotonic clock advances at `clock_rate`.
+    pub fn with_clock(name: &str, started_at_ms: u64, clock_rate: f64) -> Self {
         let now = time::Instant::now();
         Self {
             name: name.to_owned(),
             clock_rate,
             state: sync::Mutex::new(State {
-                life: Life {
-                    born_ms,
+                incarnation: Incarnation {
+                    started_at_ms,
                     began: now,
                 },
                 runs: Vec::new(),
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Loses everything that runs, and starts again under its name.
-    pub fn crash(&self, born_ms: u64) {
+    /// Ends all runs as crashed and starts a new incarnation with the same name.
+    pub fn crash(&self, started_at_ms: u64) {
         let mut state = crate::lock(&self.state);
         state.advance();
         let now = time::Instant::now();
@@ -120,90 +120,95 @@
         state.barred.clear();
         state.lease_until = now;
         state.fence = 0;
-        state.life = Life {
-            born_ms,
+        state.incarnation = Incarnation {
+            started_at_ms,
             began: now,
         };
     }
 
-    /// Every run so far.
+    /// Returns all runs, also those of former incarnations.
     pub fn runs(&self) -> Vec<Run> {
         let mut state = crate::lock(&self.state);
         state.advance();
         state.runs.clone()
     }
 
-    /// The body of a heartbeat.
+    /// Builds the body of a heartbeat.
     pub fn heartbeat(&self, sequence: u64, service: &str, zone: &str) -> serde_json::Value {
-        let life = crate::lock(&self.state).life;
+        let incarnation = crate::lock(&self.state).incarnation;
         serde_json::json!({
             "service": service, "address": "127.0.0.1:1", "zone": zone, "version": "v1",
             "slots": 8, "state": "ready", "cold_left_ms": 0,
             "capacity": {"cpu": 16_000, "mem_mb": 32_768, "gpu": 0},
-            "labels": ["a", "r1-1"], "clock_ms": self.clock_ms(life),
-            "seq_no": sequence, "born": life.born_ms,
+            "labels": ["a", "r1-1"], "clock_ms": self.clock_ms(incarnation),
+            "seq_no": sequence, "born": incarnation.started_at_ms,
         })
     }
 
-    /// The name under which it announces itself.
+    /// Returns the name of the backend server.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    fn clock_ms(&self, life: Life) -> u64 {
-        let shown = life.began.elapsed().mul_f64(self.clock_rate);
-        u64::try_from(shown.as_millis()).unwrap_or(u64::MAX)
+    fn clock_ms(&self, incarnation: Incarnation) -> u64 {
+        let reading = incarnation.began.elapsed().mul_f64(self.clock_rate);
+        u64::try_from(reading.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn at(&self, life: Life, clock_ms: u64) -> time::Instant {
-        let since = time::Duration::from_millis(clock_ms).div_f64(self.clock_rate);
-        (life.began + since).min(time::Instant::now() + MAX_LEASE.div_f64(self.clock_rate))
+    fn to_instant(&self, incarnation: Incarnation, clock_ms: u64) -> time::Instant {
+        let offset = time::Duration::from_millis(clock_ms).div_f64(self.clock_rate);
+        (incarnation.began + offset).min(time::Instant::now() + MAX_LEASE.div_f64(self.clock_rate))
     }
 
-    fn refuse(&self, life: Life, reason: &str) -> actix_web::HttpResponse {
-        let body = serde_json::json!({"clock_ms": self.clock_ms(life), "born": life.born_ms, "reason": reason});
+    fn conflict(&self, incarnation: Incarnation, reason: &str) -> actix_web::HttpResponse {
+        let body = serde_json::json!({
+            "clock_ms": self.clock_ms(incarnation), "born": incarnation.started_at_ms,
+            "reason": reason,
+        });
         actix_web::HttpResponse::Conflict().json(body)
     }
 
-    fn say(&self, life: Life) -> actix_web::HttpResponse {
-        let body = serde_json::json!({"clock_ms": self.clock_ms(life), "born": life.born_ms});
+    fn ok_response(&self, incarnation: Incarnation) -> actix_web::HttpResponse {
+        let body = serde_json::json!({
+            "clock_ms": self.clock_ms(incarnation), "born": incarnation.started_at_ms,
+        });
         actix_web::HttpResponse::Ok().json(body)
     }
 }
 
 impl State {
-    /// Ends what is done, and what has no lease any more.
+    /// Ends the runs whose work is done or whose lease has expired.
     fn advance(&mut self) {
         let now = time::Instant::now();
-        for at in 0..self.runs.len() {
-            let run = &self.runs[at];
+        for index in 0..self.runs.len() {
+            let run = &self.runs[index];
             if run.ended.is_some() {
                 continue;
             }
             if run.due <= now.min(self.lease_until) {
-                self.end(at, run.due, "done");
+                self.end(index, run.due, "done");
             } else if self.lease_until <= now {
-                self.end(at, self.lease_until, "lapsed");
+                self.end(index, self.lease_until, "lapsed");
             }
         }
     }
 
-    fn end(&mut self, at: usize, when: time::Instant, how: &'static str) {
-        let run = &mut self.runs[at];
-        run.ended = Some((when, how));
+    fn end(&mut self, index: usize, when: time::Instant, outcome: &'static str) {
+        let run = &mut self.runs[index];
+        run.ended = Some((when, outcome));
         let number = self.ends.len() as u64 + 1;
         self.barred.insert((run.task.clone(), run.run));
-        self.ends.push((number, at));
+        self.ends.push((number, index));
     }
 
-    fn fence(&mut self, fence: u64) -> bool {
-        let is_good = fence >= self.fence;
+    fn admit_fence(&mut self, fence: u64) -> bool {
+        let is_current = fence >= self.fence;
         self.fence = self.fence.max(fence);
-        is_good
+        is_current
     }
 }
 
-/// Adds the backend server's calls.
+/// Registers the routes of the backend server.
 pub fn configure(cfg: &mut web::ServiceConfig, backend: &sync::Arc<Backend>) {
     cfg.app_data(web::Data::from(sync::Arc::clone(backend)));
     cfg.route("/run-start", web::post().to(start));
@@ -215,20 +220,20 @@
     let start = start.into_inner();
     let mut state = crate::lock(&backend.state);
     state.advance();
-    if !state.fence(start.fence) {
-        return backend.refuse(state.life, "fence");
+    if !state.admit_fence(start.fence) {
+        return backend.conflict(state.incarnation, "fence");
     }
     let now = time::Instant::now();
-    let until = backend.at(state.life, start.deadline_ms);
+    let until = backend.to_instant(state.incarnation, start.deadline_ms);
     if until <= now {
-        return backend.refuse(state.life, "late");
+        return backend.conflict(state.incarnation, "late");
     }
     if state
         .barred
         .iter()
         .any(|(task, run)| *task == start.task && *run >= start.run)
     {
-        return backend.refuse(state.life, "old");
+        return backend.conflict(state.incarnation, "old");
     }
     state.lease_until = state.lease_until.max(until);
     let work = time::Duration::from_millis(start.spec.parse().unwrap_or(0));
@@ -239,21 +244,21 @@
         due: now + work,
         ended: None,
     });
-    backend.say(state.life)
+    backend.ok_response(state.incarnation)
 }
 
 async fn stop(backend: web::Data<Backend>, stop: web::Json<Stop>) -> actix_web::HttpResponse {
     let mut state = crate::lock(&backend.state);
     state.advance();
-    if !state.fence(stop.fence) {
-        return backend.refuse(state.life, "fence");
+    if !state.admit_fence(stop.fence) {
+        return backend.conflict(state.incarnation, "fence");
     }
-    let is_it = |run: &Run| run.task == stop.task && run.run == stop.run && run.ended.is_none();
-    if let Some(at) = state.runs.iter().position(is_it) {
-        state.end(at, time::Instant::now(), "stopped");
+    let is_target = |run: &Run| run.task == stop.task && run.run == stop.run && run.ended.is_none();
+    if let Some(index) = state.runs.iter().position(is_target) {
+        state.end(index, time::Instant::now(), "stopped");
     }
     state.barred.insert((stop.task.clone(), stop.run));
-    backend.say(state.life)
+    backend.ok_response(state.incarnation)
 }
 
 async fn hold(backend: web::Data<Backend>, hold: web::Json<Hold>) -> actix_web::HttpResponse {
@@ -261,23 +266,25 @@
     {
         let mut state = crate::lock(&backend.state);
         state.advance();
-        if !state.fence(hold.fence) {
-            return backend.refuse(state.life, "fence");
+        if !state.admit_fence(hold.fence) {
+            return backend.conflict(state.incarnation, "fence");
         }
         if let Some(deadline_ms) = hold.deadline_ms {
-            state.lease_until = state.lease_until.max(backend.at(state.life, deadline_ms));
+            state.lease_until = state
+                .lease_until
+                .max(backend.to_instant(state.incarnation, deadline_ms));
         }
     }
     loop {
-        let has_news = {
+        let has_unacked = {
             let mut state = crate::lock(&backend.state);
             state.advance();
             state.ends.len() as u64 > hold.acked_up_to
         };
-        if has_news || time::Instant::now() >= until {
+        if has_unacked || time::Instant::now() >= until {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let state = crate::lock(&backend.state);
     let running = state.runs.iter().filter(|run| run.ended.is_none());
@@ -288,14 +295,14 @@
         .ends
         .iter()
         .filter(|(number, _)| *number > hold.acked_up_to);
-    let ends = ends.map(|(number, at)| {
-        let run = &state.runs[*at];
-        let how = run.ended.map_or("done", |(_, how)| how);
-        serde_json::json!([number, run.task, run.run, how, ""])
+    let ends = ends.map(|(number, index)| {
+        let run = &state.runs[*index];
+        let outcome = run.ended.map_or("done", |(_, outcome)| outcome);
+        serde_json::json!([number, run.task, run.run, outcome, ""])
     });
     let ends: Vec<_> = ends.collect();
     actix_web::HttpResponse::Ok().json(serde_json::json!({
-        "clock_ms": backend.clock_ms(state.life), "born": state.life.born_ms,
+        "clock_ms": backend.clock_ms(state.incarnation), "born": state.incarnation.started_at_ms,
         "running": running, "finished": ends,
     }))
 }
--- a/standins/src/platform/mod.rs
+++ b/standins/src/platform/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for the platform's store and for a backend server that runs under leases,
-//! by the platform's published protocol.
+//! Stand-ins for the platform's store and for a backend server whose runs need a lease.
+//!
+//! They follow the platform's published protocol.
 
 pub mod backend;
 pub mod store;
--- a/standins/src/platform/store.rs
+++ b/standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: topics of one partition each, kept in memory.
+//! Store of the platform: topics with one partition each, kept in memory.
 
 use std::collections;
 use std::sync;
@@ -9,13 +9,13 @@
 use base64::Engine as _;
 use serde::Deserialize;
 
-/// Most bytes of a read.
+/// Maximum size of a page, in bytes.
 const MAX_PAGE_BYTES: usize = 1 << 20;
 
-/// How often a waiting read looks for something new.
-const LOOK: time::Duration = time::Duration::from_millis(5);
+/// Interval between two checks for new records while a read waits.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// The store's state, shared with the test that switches it.
+/// State of the store, shared with the test that controls it.
 #[derive(Debug, Default)]
 pub struct Store {
     topics: sync::Mutex<collections::HashMap<String, Vec<Vec<u8>>>>,
@@ -34,12 +34,12 @@
 }
 
 impl Store {
-    /// Answers nothing but 503 from now on, or again as usual.
+    /// Takes the store down, so that every call is answered with 503, or up again.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.store(is_down, atomic::Ordering::SeqCst);
     }
 
-    /// Writes a record with a key, as an operator does; an empty value drops the key.
+    /// Appends a record with a key, as an operator does; an empty value removes the key.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let length = u8::try_from(key.len()).unwrap_or(u8::MAX);
         let record = [&[length], key.as_bytes(), value].concat();
@@ -47,13 +47,15 @@
         topics.entry(topic.to_owned()).or_default().push(record);
     }
 
-    /// Writes `to` wherever a process writes `from`, so that others find it behind a relay.
+    /// Replaces `from` by `to` in records appended by processes.
+    ///
+    /// A test replaces the address of a process by that of a relay in front of it.
     pub fn alias(&self, from: &str, to: &str) {
-        let pair = (from.as_bytes().to_vec(), to.as_bytes().to_vec());
-        crate::lock(&self.aliases).push(pair);
+        let alias_pair = (from.as_bytes().to_vec(), to.as_bytes().to_vec());
+        crate::lock(&self.aliases).push(alias_pair);
     }
 
-    fn aliased(&self, record: &[u8]) -> Vec<u8> {
+    fn apply_aliases(&self, record: &[u8]) -> Vec<u8> {
         let mut record = record.to_vec();
         for (from, to) in &*crate::lock(&self.aliases) {
             let found = record.windows(from.len()).position(|at| at == from);
@@ -69,7 +71,7 @@
     }
 }
 
-/// Adds the store's calls.
+/// Registers the routes of the store.
 pub fn configure(cfg: &mut web::ServiceConfig, store: &sync::Arc<Store>) {
     cfg.app_data(web::Data::from(sync::Arc::clone(store)));
     cfg.route("/log-append", web::post().to(append));
@@ -77,7 +79,7 @@
     cfg.route("/log-newest", web::get().to(newest));
 }
 
-fn down(store: &Store) -> Option<actix_web::HttpResponse> {
+fn unavailable(store: &Store) -> Option<actix_web::HttpResponse> {
     let is_down = store.is_down.load(atomic::Ordering::SeqCst);
     is_down.then(|| actix_web::HttpResponse::ServiceUnavailable().finish())
 }
@@ -87,8 +89,8 @@
     query: web::Query<Query>,
     body: web::Bytes,
 ) -> actix_web::HttpResponse {
-    if let Some(refusal) = down(&store) {
-        return refusal;
+    if let Some(response) = unavailable(&store) {
+        return response;
     }
     let mut rest = &*body;
     let mut topics = crate::lock(&store.topics);
@@ -99,7 +101,7 @@
         let Some((record, after)) = after.split_at_checked(length) else {
             return actix_web::HttpResponse::BadRequest().finish();
         };
-        records.push(store.aliased(record));
+        records.push(store.apply_aliases(record));
         rest = after;
     }
     actix_web::HttpResponse::Ok().json(serde_json::json!({"offset": offset, "end": records.len()}))
@@ -108,10 +110,10 @@
 async fn read(store: web::Data<Store>, query: web::Query<Query>) -> actix_web::HttpResponse {
     let until = time::Instant::now() + time::Duration::from_millis(query.wait_ms);
     while store.end(&query.topic) <= query.from && time::Instant::now() < until {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    if let Some(refusal) = down(&store) {
-        return refusal;
+    if let Some(response) = unavailable(&store) {
+        return response;
     }
     let topics = crate::lock(&store.topics);
     let records = topics.get(&query.topic).map_or(&[][..], Vec::as_slice);
@@ -129,8 +131,8 @@
 }
 
 async fn newest(store: web::Data<Store>, query: web::Query<Query>) -> actix_web::HttpResponse {
-    if let Some(refusal) = down(&store) {
-        return refusal;
+    if let Some(response) = unavailable(&store) {
+        return response;
     }
     let topics = crate::lock(&store.topics);
     let records = topics.get(&query.topic).map_or(&[][..], Vec::as_slice);
--- a/standins/src/processes.rs
+++ b/standins/src/processes.rs
@@ -1,4 +1,4 @@
-//! Starts, freezes and ends child processes for tests and the demo.
+//! Starts, suspends and ends child processes for tests and the demo.
 
 use std::ffi;
 use std::fs;
@@ -16,52 +16,52 @@
 
 use crate::lock;
 
-/// How long a process may take to print its address; generous, since machines are busy.
-const START_LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Maximum time until a process prints an address; long enough for a machine under load.
+const START_TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// How often an exit is looked for.
-const EXIT_POLL: time::Duration = time::Duration::from_millis(5);
+/// Interval between two checks of a child's state.
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// Longest time until a process that was told to stands still.
-const STAND_STILL: time::Duration = time::Duration::from_secs(10);
+/// Maximum time until a process has stopped after SIGSTOP.
+const SUSPEND_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
-/// The word before the address that a process serves.
+/// Label of the line with the address that a process serves.
 const LISTENING: &str = "listening";
 
 quick_error! {
-    /// Why a process could not be started.
+    /// Error of starting a process or of waiting for its address.
     #[derive(Debug)]
     pub enum Error {
-        /// The program or its log files could not be opened.
+        /// The program could not be started or its log files could not be opened.
         Io(err: io::Error) {
             display("{err}")
             source(err)
             from()
         }
-        /// It closed its output before it printed the address.
-        Ended(name: String, word: String) {
-            display("{name} ended before it printed '{word} IP:PORT'")
+        /// The process closed its output before it printed the address.
+        Exited(name: String, label: String) {
+            display("{name} closed its output before it printed '{label} IP:PORT'")
         }
-        /// It did not print the address in time.
-        TimedOut(name: String, word: String) {
-            display("{name} did not print '{word} IP:PORT' in time")
+        /// The process did not print the address in time.
+        TimedOut(name: String, label: String) {
+            display("{name} did not print '{label} IP:PORT' within the start timeout")
         }
     }
 }
 
-/// The addresses that a process has printed so far.
+/// Addresses that a process has printed so far, each with its label.
 #[derive(Debug, Default)]
-struct Announced {
+struct Printed {
     addresses: Vec<(String, net::SocketAddr)>,
     closed: bool,
 }
 
-type Output = sync::Arc<(sync::Mutex<Announced>, sync::Condvar)>;
+type Output = sync::Arc<(sync::Mutex<Printed>, sync::Condvar)>;
 
-/// A child process; dropped, it is killed.
+/// A child process, which is killed when dropped.
 ///
-/// Its output goes to `NAME.out` and `NAME.err` in the log folder, behind that of
-/// earlier processes of the name.
+/// Its output is appended to `NAME.out` and `NAME.err` in the log folder, after the output
+/// of earlier processes with the same name.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -83,8 +83,8 @@
         I: IntoIterator<Item = S>,
         S: AsRef<ffi::OsStr>,
     {
-        let out = open(folder, name, "out")?;
-        let err = open(folder, name, "err")?;
+        let out = open_log_file(folder, name, "out")?;
+        let err = open_log_file(folder, name, "err")?;
         let mut child = process::Command::new(program)
             .args(args)
             .stdin(process::Stdio::null())
@@ -94,7 +94,7 @@
         let output = Output::default();
         let reader = child.stdout.take().map(|stdout| {
             let output = sync::Arc::clone(&output);
-            thread::spawn(move || collect(stdout, out, &output))
+            thread::spawn(move || copy_output(stdout, out, &output))
         });
         let mut started = Self {
             name: name.to_owned(),
@@ -107,82 +107,82 @@
         Ok(started)
     }
 
-    /// The address that it serves.
+    /// Returns the address that the process serves.
     pub const fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// The name it was started under.
+    /// Returns the name that the process was started with.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its process id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Waits for a further line `WORD IP:PORT` of its output.
-    pub fn wait_for_address(&self, word: &str) -> Result<net::SocketAddr, Error> {
-        let (announced, more) = &*self.output;
-        let missing =
-            |seen: &mut Announced| !seen.closed && seen.addresses.iter().all(|(w, _)| w != word);
-        let (seen, waited) = more
-            .wait_timeout_while(lock(announced), START_LIMIT, missing)
+    /// Waits until the process has printed a line `LABEL IP:PORT` and returns the address.
+    pub fn wait_for_address(&self, label: &str) -> Result<net::SocketAddr, Error> {
+        let (printed, changed) = &*self.output;
+        let is_missing =
+            |seen: &mut Printed| !seen.closed && seen.addresses.iter().all(|(l, _)| l != label);
+        let (seen, wait_result) = changed
+            .wait_timeout_while(lock(printed), START_TIMEOUT, is_missing)
             .unwrap_or_else(sync::PoisonError::into_inner);
-        let found = seen.addresses.iter().find(|(w, _)| w == word);
+        let found = seen.addresses.iter().find(|(l, _)| l == label);
         if let Some((_, address)) = found {
             return Ok(*address);
         }
-        let (name, word) = (self.name.clone(), word.to_owned());
-        if waited.timed_out() {
-            return Err(Error::TimedOut(name, word));
+        let (name, label) = (self.name.clone(), label.to_owned());
+        if wait_result.timed_out() {
+            return Err(Error::TimedOut(name, label));
         }
-        Err(Error::Ended(name, word))
+        Err(Error::Exited(name, label))
     }
 
-    /// SIGKILL; returns when it is gone.
+    /// Sends SIGKILL and waits until the process has exited.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         if let Some(reader) = self.reader.take() {
-            // It ends with the output, and a panic there is of no further use.
+            // The thread ends at the end of the output; a panic in it is ignored.
             drop(reader.join());
         }
         Ok(())
     }
 
-    /// SIGSTOP: it holds its connections and does nothing; returns once it stands still.
+    /// Sends SIGSTOP and waits until the process is suspended; its connections stay open.
     ///
-    /// The signal is taken by one thread, and the others go on until that one has had its turn
-    /// on a processor. On a busy machine an entry still answered a call that was made after
-    /// the signal, and a test took it for one that was not frozen.
+    /// One thread handles the signal, and the others run on until that thread is scheduled.
+    /// Without the wait, an entry on a machine under load still answers a call made after the
+    /// signal, and a test concludes that it is not suspended.
     pub fn suspend(&mut self) -> io::Result<()> {
         self.signal(Signal::STOP)?;
         let pid = rustix::process::Pid::from_child(&self.child);
         let options =
             rustix::process::WaitIdOptions::STOPPED | rustix::process::WaitIdOptions::NOHANG;
-        let until = time::Instant::now() + STAND_STILL;
+        let until = time::Instant::now() + SUSPEND_TIMEOUT;
         while rustix::process::waitid(rustix::process::WaitId::Pid(pid), options)?.is_none() {
             if time::Instant::now() >= until {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            thread::sleep(EXIT_POLL);
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
 
-    /// SIGCONT.
+    /// Sends SIGCONT to a suspended process.
     pub fn resume(&mut self) -> io::Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// SIGTERM: asks it to stop; see [`Process::wait_exit`].
+    /// Sends SIGTERM; [`Process::wait_exit`] waits for the exit.
     pub fn terminate(&mut self) -> io::Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Waits until it has ended; none if it still runs after `limit`.
+    /// Waits until the process has exited; returns `None` if it still runs after `limit`.
     pub fn wait_exit(&mut self, limit: time::Duration) -> io::Result<Option<process::ExitStatus>> {
         let end = time::Instant::now() + limit;
         loop {
@@ -192,11 +192,11 @@
             if time::Instant::now() >= end {
                 return Ok(None);
             }
-            thread::sleep(EXIT_POLL);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Once the child is reaped its id may be another process's, so nothing is sent.
+    /// Sends a signal, unless the child has exited: once it is reaped, its id may be reused.
     fn signal(&mut self, signal: Signal) -> io::Result<()> {
         if self.child.try_wait()?.is_some() {
             return Ok(());
@@ -212,31 +212,31 @@
     }
 }
 
-fn open(folder: &path::Path, name: &str, suffix: &str) -> io::Result<fs::File> {
+fn open_log_file(folder: &path::Path, name: &str, suffix: &str) -> io::Result<fs::File> {
     let path = folder.join(format!("{name}.{suffix}"));
     fs::OpenOptions::new().create(true).append(true).open(path)
 }
 
-/// Copies a child's output to its file and picks out the addresses.
-fn collect(stdout: process::ChildStdout, mut file: fs::File, output: &Output) {
-    let (announced, more) = &**output;
+/// Copies the output of a child to its file and records the addresses in it.
+fn copy_output(stdout: process::ChildStdout, mut file: fs::File, output: &Output) {
+    let (printed, changed) = &**output;
     let mut lines = io::BufReader::new(stdout);
     let mut line = Vec::new();
     while lines.read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
-        // A full disk must not stop the child, which would block on its output.
+        // Write errors are ignored: if reading stopped on a full disk, the child would block.
         drop(file.write_all(&line));
-        if let Some(found) = parse(&line) {
-            lock(announced).addresses.push(found);
-            more.notify_all();
+        if let Some(found) = parse_address(&line) {
+            lock(printed).addresses.push(found);
+            changed.notify_all();
         }
         line.clear();
     }
-    lock(announced).closed = true;
-    more.notify_all();
+    lock(printed).closed = true;
+    changed.notify_all();
 }
 
-fn parse(line: &[u8]) -> Option<(String, net::SocketAddr)> {
+fn parse_address(line: &[u8]) -> Option<(String, net::SocketAddr)> {
     let text = str::from_utf8(line).ok()?;
-    let (word, address) = text.trim_end().split_once(' ')?;
-    Some((word.to_owned(), address.parse().ok()?))
+    let (label, address) = text.trim_end().split_once(' ')?;
+    Some((label.to_owned(), address.parse().ok()?))
 }
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -1,9 +1,9 @@
-//! A TCP relay whose behaviour tests change while it runs.
+//! TCP relay that injects faults into the connections that it forwards.
 //!
-//! In a test's own process: [`Relay::start`] and [`Relay::set`]. As a process:
-//! `POST /control` takes a [`Behaviour`] as JSON, such as
-//! `{"mode": "silent", "direction": "to_target", "new_too": true}`, and
-//! `GET /control` gives the [`Counts`].
+//! A test can run it in its own process ([`Relay::start`], [`Relay::set`]) or as a separate
+//! one. In the latter, `POST /control` takes a [`Behaviour`] as JSON, such as
+//! `{"mode": "silent", "direction": "to_target", "new_too": true}`, and `GET /control`
+//! returns the [`Counts`].
 
 use std::collections;
 use std::io;
@@ -27,61 +27,61 @@
 use crate::lock;
 use crate::server;
 
-/// Bytes read at once.
+/// Maximum number of bytes per read.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Chunks on their way in one direction of a connection; a delay holds that many.
+/// Maximum number of chunks buffered per connection and direction, delayed ones included.
 const CHUNKS_IN_FLIGHT: usize = 256;
 
-/// Which bytes go silent.
+/// Direction of the bytes that a silent connection drops.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Direction {
-    /// From whoever connected.
+    /// From the client to the target.
     ToTarget,
-    /// From the target.
+    /// From the target to the client.
     FromTarget,
-    /// Both.
+    /// Both directions.
     Both,
 }
 
-/// What happens to connections.
+/// How the relay treats connections and their bytes.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case", tag = "mode")]
 pub enum Behaviour {
-    /// Bytes pass as they come.
+    /// Bytes are forwarded at once.
     #[default]
     Pass,
-    /// Bytes pass `ms` milliseconds after they came, in either direction.
+    /// Bytes are forwarded after a delay, in both directions.
     Delay {
-        /// Milliseconds.
+        /// Delay in milliseconds.
         ms: u64,
     },
-    /// Each direction of each connection carries so much.
+    /// The throughput of each connection is limited in each direction.
     Pace {
-        /// Bytes a second; 0 counts as 1.
+        /// Bytes per second; 0 counts as 1.
         bytes_per_s: u64,
     },
-    /// Open connections are closed, and new ones as soon as they are there.
+    /// Open connections are closed, and new ones are closed on accept.
     Cut,
-    /// Bytes and closings are swallowed and connections stay open.
+    /// Open connections drop bytes and shutdowns, but stay open.
     ///
-    /// A connection gone silent stays so, whatever is set later.
+    /// A silent connection remains silent under every later behaviour.
     Silent {
-        /// In which direction.
+        /// Direction in which bytes are dropped.
         direction: Direction,
-        /// Whether connections made from now on go silent too.
+        /// Whether new connections are silent too.
         #[serde(default)]
         new_too: bool,
     },
-    /// Open connections go silent both ways for good while new ones work.
+    /// Open connections become silent in both directions, for good; new ones are not.
     SilentExisting,
 }
 
 impl Behaviour {
-    /// What goes silent, and whether in new connections too.
+    /// Returns the silent direction and whether new connections are silent too.
     const fn silence(self) -> Option<(Direction, bool)> {
         match self {
             Self::Silent { direction, new_too } => Some((direction, new_too)),
@@ -97,8 +97,8 @@
         }
     }
 
-    /// How long so many bytes occupy a connection.
-    fn occupied(self, bytes: usize) -> time::Duration {
+    /// Returns how long a connection takes to transmit the given number of bytes.
+    fn transmission_time(self, bytes: usize) -> time::Duration {
         match self {
             Self::Pace { bytes_per_s } => {
                 time::Duration::from_secs(bytes as u64)
@@ -109,25 +109,25 @@
     }
 }
 
-/// What the relay has seen so far.
+/// Counters of the relay.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Counts {
-    /// Connections taken.
+    /// Number of accepted connections.
     pub accepted: u64,
-    /// Connections open now.
+    /// Number of open connections.
     pub open: u64,
-    /// Bytes passed to the target.
+    /// Bytes forwarded to the target.
     pub to_target_bytes: u64,
-    /// Bytes passed back.
+    /// Bytes forwarded from the target.
     pub from_target_bytes: u64,
-    /// Bytes for the target that were swallowed.
+    /// Bytes to the target that were dropped.
     pub swallowed_to_target_bytes: u64,
-    /// Bytes from the target that were swallowed.
+    /// Bytes from the target that were dropped.
     pub swallowed_from_target_bytes: u64,
 }
 
-/// The silence of one connection, which never ends.
+/// Silent directions of one connection; once set, a direction stays silent.
 #[derive(Debug, Default)]
 struct Silence {
     to_target: AtomicBool,
@@ -205,7 +205,7 @@
 }
 
 impl Relay {
-    /// Listens and passes connections on to `to`; needs a running tokio runtime.
+    /// Listens and forwards connections to `to`. Requires a running tokio runtime.
     pub async fn start(listen: net::SocketAddr, to: net::SocketAddr) -> io::Result<Self> {
         let listener = tokio::net::TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
@@ -218,22 +218,22 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the relay listens on.
     pub const fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Changes the behaviour. What was read but not yet passed on falls under it too.
+    /// Sets the behaviour, which also applies to bytes read but not yet forwarded.
     pub fn set(&self, behaviour: Behaviour) {
         lock(&self.shared).set(behaviour);
     }
 
-    /// What was seen so far.
+    /// Returns the current counters.
     pub fn counts(&self) -> Counts {
         lock(&self.shared).counts
     }
 
-    /// Serves `/control`; needs a running actix system.
+    /// Serves `/control`. Requires a running actix system.
     pub fn serve_control(&self, listen: net::SocketAddr) -> io::Result<server::Server> {
         let data = web::Data::new(sync::Arc::clone(&self.shared));
         server::Server::start(listen, move |cfg| {
@@ -257,7 +257,7 @@
             lock(&shared).set(behaviour);
             counts(shared).await
         }
-        Err(bad) => bad.error_response(),
+        Err(err) => err.error_response(),
     }
 }
 
@@ -267,17 +267,19 @@
 
 async fn accept(listener: tokio::net::TcpListener, to: net::SocketAddr, shared: Shared) {
     loop {
-        // An accept fails when the caller is gone again or files run out; both pass.
-        let Ok((near, _)) = listener.accept().await else {
+        // An accept fails if the client has closed the connection or if file descriptors
+        // run out. Both are temporary.
+        let Ok((client, _)) = listener.accept().await else {
             tokio::time::sleep(time::Duration::from_millis(1)).await;
             continue;
         };
-        take_in(near, to, &shared);
+        start_connection(client, to, &shared);
     }
 }
 
-/// Starts a connection, under the lock so that no change of behaviour misses it.
-fn take_in(near: tokio::net::TcpStream, to: net::SocketAddr, shared: &Shared) {
+/// Registers and starts a connection under the lock, so that every change of behaviour applies
+/// to it.
+fn start_connection(client: tokio::net::TcpStream, to: net::SocketAddr, shared: &Shared) {
     let mut state = lock(shared);
     if state.behaviour == Behaviour::Cut {
         return;
@@ -286,65 +288,63 @@
     if let Some((direction, true)) = state.behaviour.silence() {
         silence.begin(direction);
     }
-    let number = state.counts.accepted;
-    let pass = connect(
-        near,
+    let id = state.counts.accepted;
+    let relaying = relay_connection(
+        client,
         to,
         sync::Arc::clone(&silence),
         sync::Arc::clone(shared),
     );
-    let finished = sync::Arc::clone(shared);
+    let shared_state = sync::Arc::clone(shared);
     let task = tokio::spawn(async move {
-        // A connection that fails is closed on both sides, as TCP would have it.
-        drop(pass.await);
-        let mut state = lock(&finished);
-        state.connections.remove(&number);
+        // After an error both sides are closed, as TCP would do.
+        drop(relaying.await);
+        let mut state = lock(&shared_state);
+        state.connections.remove(&id);
         state.counts.open = state.connections.len() as u64;
     });
     let task = task.abort_handle();
     state.counts.accepted += 1;
-    state
-        .connections
-        .insert(number, Connection { silence, task });
+    state.connections.insert(id, Connection { silence, task });
     state.counts.open = state.connections.len() as u64;
 }
 
-async fn connect(
-    near: tokio::net::TcpStream,
+async fn relay_connection(
+    client: tokio::net::TcpStream,
     to: net::SocketAddr,
     silence: sync::Arc<Silence>,
     shared: Shared,
 ) -> io::Result<()> {
-    let far = tokio::net::TcpStream::connect(to).await?;
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let there = Pump {
+    let upstream = tokio::net::TcpStream::connect(to).await?;
+    client.set_nodelay(true)?;
+    upstream.set_nodelay(true)?;
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let forward = Pump {
         direction: Direction::ToTarget,
         silence: sync::Arc::clone(&silence),
         shared: sync::Arc::clone(&shared),
     };
-    let back = Pump {
+    let backward = Pump {
         direction: Direction::FromTarget,
         silence,
         shared,
     };
     tokio::try_join!(
-        there.run(near_read, far_write),
-        back.run(far_read, near_write)
+        forward.run(client_read, upstream_write),
+        backward.run(upstream_read, client_write)
     )?;
     Ok(())
 }
 
-/// One direction of one connection.
+/// Forwards the bytes of one direction of a connection.
 struct Pump {
     direction: Direction,
     silence: sync::Arc<Silence>,
     shared: Shared,
 }
 
-/// Bytes and when they may go on; no bytes: the sender has closed.
+/// Bytes and the time to forward them; an empty chunk stands for the sender's shutdown.
 type Chunk = (tokio::time::Instant, Vec<u8>);
 
 impl Pump {
@@ -357,7 +357,7 @@
     async fn read(&self, mut from: tcp::OwnedReadHalf, tx: mpsc::Sender<Chunk>) -> io::Result<()> {
         let mut buf = vec![0; CHUNK_BYTES];
         loop {
-            // A reset of a silent connection is swallowed like its bytes.
+            // On a silent connection, a reset is dropped like the bytes.
             let n = match from.read(&mut buf).await {
                 Err(_) if self.is_silent() => 0,
                 result => result?,
@@ -378,16 +378,16 @@
     ) -> io::Result<()> {
         while let Some((due, bytes)) = rx.recv().await {
             tokio::time::sleep_until(due).await;
-            let occupied = lock(&self.shared).behaviour.occupied(bytes.len());
-            tokio::time::sleep(occupied).await;
+            let transmission_time = lock(&self.shared).behaviour.transmission_time(bytes.len());
+            tokio::time::sleep(transmission_time).await;
             let silent = self.is_silent();
             lock(&self.shared).count(self.direction, silent, bytes.len());
             match (silent, bytes.is_empty()) {
                 (false, false) => to.write_all(&bytes).await?,
                 (false, true) => to.shutdown().await?,
                 (true, false) => {}
-                // The closing is swallowed: the other end must never hear of it,
-                // so its half stays open until the relay ends or cuts.
+                // The shutdown is dropped: the other end must not receive it, so its half
+                // stays open until the relay ends or the connection is cut.
                 (true, true) => std::future::pending().await,
             }
         }
--- a/standins/src/server.rs
+++ b/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! An actix-web server on one thread, as all stand-ins use it.
+//! Single-threaded actix-web server that all stand-ins use.
 
 use std::io;
 use std::net;
@@ -7,13 +7,13 @@
 use actix_web::http;
 use actix_web::web;
 
-/// Largest body that a stand-in reads, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Seconds that a stopping server gives to calls in progress.
-const STOP_S: u64 = 1;
+/// Time that calls in progress get when the server stops, in seconds.
+const SHUTDOWN_TIMEOUT_S: u64 = 1;
 
-/// A server that runs until it is stopped or the process ends.
+/// A server that runs until it is stopped or the process exits.
 #[derive(Debug)]
 pub struct Server {
     address: net::SocketAddr,
@@ -22,9 +22,9 @@
 }
 
 impl Server {
-    /// Listens and serves; needs a running actix system.
+    /// Binds the address and starts to serve. Requires a running actix system.
     ///
-    /// Signals are left alone, so SIGTERM simply ends a stand-in.
+    /// Signal handlers are not installed, so SIGTERM ends a stand-in at once.
     pub fn start<C>(listen: net::SocketAddr, configure: C) -> io::Result<Self>
     where
         C: Fn(&mut web::ServiceConfig) + Clone + Send + 'static,
@@ -38,7 +38,7 @@
         let bound = actix_web::HttpServer::new(app)
             .workers(1)
             .disable_signals()
-            .shutdown_timeout(STOP_S)
+            .shutdown_timeout(SHUTDOWN_TIMEOUT_S)
             .bind(listen)?;
         let address = bound.addrs().first().copied().unwrap_or(listen);
         let running = bound.run();
@@ -51,40 +51,40 @@
         })
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub const fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Stops listening and closes what is open.
+    /// Stops listening and closes all open connections.
     pub async fn stop(self) {
         self.handle.stop(false).await;
     }
 
-    /// Waits until the server has ended.
+    /// Waits until the server has stopped.
     pub async fn finished(self) -> io::Result<()> {
         self.task.await.map_err(io::Error::other)?
     }
 }
 
-/// An answer with a reason for people.
-pub(crate) fn refusal(status: http::StatusCode, reason: &str) -> actix_web::HttpResponse {
+/// Builds an error response whose JSON body holds the reason.
+pub(crate) fn json_error(status: http::StatusCode, reason: &str) -> actix_web::HttpResponse {
     let body = serde_json::json!({ "error": reason });
     actix_web::HttpResponse::build(status).json(body)
 }
 
 quick_error! {
-    /// A body that is not what the page describes.
+    /// Invalid request body.
     #[derive(Debug)]
     pub enum BadBody {
-        /// Not JSON, or not of the expected form.
+        /// The body is not JSON or does not match the expected type.
         Json(err: serde_json::Error) {
             display("{err}")
             source(err)
             from()
         }
-        /// Well-formed, but impossible.
-        Impossible(reason: &'static str) {
+        /// The body is well-formed, but a value in it is invalid.
+        Invalid(reason: &'static str) {
             display("{reason}")
         }
     }
@@ -96,11 +96,11 @@
     }
 
     fn error_response(&self) -> actix_web::HttpResponse {
-        refusal(self.status_code(), &self.to_string())
+        json_error(self.status_code(), &self.to_string())
     }
 }
 
-/// Reads a JSON body of any content type.
+/// Parses a body as JSON, whatever its content type.
 pub(crate) fn read_json<T>(body: &[u8]) -> Result<T, BadBody>
 where
     T: serde::de::DeserializeOwned,
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -1,5 +1,6 @@
-//! A small site of separate processes on loopback: the log, workers, entries and
-//! runners, as the demo and the failure tests use it.
+//! Site of separate processes on loopback: the log, workers, entries and runners.
+//!
+//! The demo and the failure tests use it.
 
 use std::ffi;
 use std::fs;
@@ -11,23 +12,23 @@
 
 use crate::processes;
 
-/// Where a process stands.
+/// Name, location and addresses of a daemon.
 #[derive(Clone, Debug)]
 pub struct Location {
-    /// The process's name.
+    /// Name of the process.
     pub name: SmolStr,
-    /// Its availability zone.
+    /// Availability zone of the process.
     pub zone: SmolStr,
-    /// Its rack.
+    /// Rack of the process.
     pub rack: SmolStr,
-    /// Where other processes are served; absent: a port from the system.
+    /// Listen address for other processes; `None` for a port chosen by the operating system.
     pub peer_listen: Option<net::SocketAddr>,
-    /// What other processes are told to connect to, if not that.
+    /// Address advertised to other processes; `None` for the listen address.
     pub advertise: Option<net::SocketAddr>,
 }
 
 impl Location {
-    /// A process in a zone, in a rack of its own.
+    /// Creates the location of a process in a zone, alone in its rack.
     pub fn new(name: &str, zone: &str) -> Self {
         Self {
             name: name.into(),
@@ -39,54 +40,54 @@
     }
 }
 
-/// What a daemon is started with, beside its place.
+/// Addresses that a daemon connects to.
 #[derive(Clone, Debug)]
 pub struct Endpoints {
-    /// Where it reaches the log.
+    /// Address of the log service.
     pub log: net::SocketAddr,
-    /// Entries that it knows to begin with.
+    /// Entries known at the start.
     pub entries: Vec<net::SocketAddr>,
 }
 
-/// The programs and the folder that all processes of a site share.
+/// Folders and log level that all processes of a site share.
 #[derive(Clone, Debug)]
 pub struct Site {
-    programs: path::PathBuf,
+    program_folder: path::PathBuf,
     folder: path::PathBuf,
     log_level: &'static str,
 }
 
-/// Size of each stand-in worker: the first user's, in thousandths of a core and MiB.
+/// Size of each worker, in thousandths of a core and MiB: that of the first user's workers.
 const WORKER_SIZE: (u32, u32) = (16_000, 32_768);
 
-/// An address of the system's choice.
+/// Loopback address with a port chosen by the operating system.
 const ANY_PORT: &str = "127.0.0.1:0";
 
 impl Site {
-    /// A site whose programs stand in one folder and whose files go to another.
-    pub fn new(programs: &path::Path, folder: &path::Path) -> Self {
+    /// Creates a site with the folder of its programs and the folder for its files.
+    pub fn new(program_folder: &path::Path, folder: &path::Path) -> Self {
         Self {
-            programs: programs.to_owned(),
+            program_folder: program_folder.to_owned(),
             folder: folder.to_owned(),
             log_level: "info",
         }
     }
 
-    /// The same site, its daemons logging from another level on.
+    /// Sets the log level of the daemons; the default is `info`.
     #[must_use]
     pub const fn logging(mut self, log_level: &'static str) -> Self {
         self.log_level = log_level;
         self
     }
 
-    /// The folder with configuration and logs.
+    /// Returns the folder with configuration and logs.
     pub fn folder(&self) -> &path::Path {
         &self.folder
     }
 
-    /// The path of a program.
+    /// Returns the path of a program.
     pub fn program(&self, name: &str) -> path::PathBuf {
-        self.programs.join(name)
+        self.program_folder.join(name)
     }
 
     /// Starts the log service.
@@ -103,60 +104,65 @@
         self.start("standin-worker", args, name)
     }
 
-    /// Starts an entry; other processes reach it at `wait_for_address("peers")`.
+    /// Starts an entry; `wait_for_address("peers")` returns its address for other processes.
     pub fn entry(
         &self,
-        place: &Location,
-        links: &Endpoints,
+        location: &Location,
+        endpoints: &Endpoints,
     ) -> Result<processes::Process, processes::Error> {
-        let mut args = self.daemon_args("entry", place, links);
+        let mut args = self.daemon_args("entry", location, endpoints);
         args.extend(["--listen".into(), ANY_PORT.into()]);
-        self.start("bulrushtillerd", &args, &place.name)
+        self.start("bulrushtillerd", &args, &location.name)
     }
 
-    /// Starts a runner beside a worker; `more` are further arguments.
+    /// Starts the runner of a backend server with additional arguments.
     pub fn runner(
         &self,
-        place: &Location,
-        links: &Endpoints,
+        location: &Location,
+        endpoints: &Endpoints,
         backend: net::SocketAddr,
-        more: &[&str],
+        extra_args: &[&str],
     ) -> Result<processes::Process, processes::Error> {
-        let config = self.folder.join(format!("{}.toml", place.name));
+        let config = self.folder.join(format!("{}.toml", location.name));
         let (cpu_milli, memory_mib) = WORKER_SIZE;
         let mut f = fs::File::create(&config)?;
         writeln!(
             f,
             "[worker]\ncpu_milli = {cpu_milli}\nmemory_mib = {memory_mib}"
         )?;
-        let mut args = self.daemon_args("runner", place, links);
+        let mut args = self.daemon_args("runner", location, endpoints);
         args.extend(["--config".into(), config.into_os_string()]);
         args.extend(["--backend".into(), backend.to_string().into()]);
-        args.extend(more.iter().map(ffi::OsString::from));
-        self.start("bulrushtillerd", &args, &place.name)
+        args.extend(extra_args.iter().map(ffi::OsString::from));
+        self.start("bulrushtillerd", &args, &location.name)
     }
 
-    fn daemon_args(&self, role: &str, place: &Location, links: &Endpoints) -> Vec<ffi::OsString> {
-        let log_file = self.folder.join(format!("{}.jsonl", place.name));
+    fn daemon_args(
+        &self,
+        role: &str,
+        location: &Location,
+        endpoints: &Endpoints,
+    ) -> Vec<ffi::OsString> {
+        let log_file = self.folder.join(format!("{}.jsonl", location.name));
         let mut args: Vec<ffi::OsString> = Vec::new();
-        let peer_listen = place.peer_listen.map(|address| address.to_string());
+        let peer_listen = location.peer_listen.map(|address| address.to_string());
         let peer_listen = peer_listen.unwrap_or_else(|| ANY_PORT.to_owned());
         for (flag, value) in [
             ("--role", role),
-            ("--name", &place.name),
-            ("--zone", &place.zone),
-            ("--rack", &place.rack),
+            ("--name", &location.name),
+            ("--zone", &location.zone),
+            ("--rack", &location.rack),
             ("--peer-listen", &peer_listen),
-            ("--log", &links.log.to_string()),
+            ("--log", &endpoints.log.to_string()),
             ("--log-level", self.log_level),
         ] {
             args.extend([flag.into(), value.into()]);
         }
-        if let Some(address) = place.advertise {
+        if let Some(address) = location.advertise {
             args.extend(["--advertise".into(), address.to_string().into()]);
         }
         args.extend(["--log-file".into(), log_file.into_os_string()]);
-        for entry in &links.entries {
+        for entry in &endpoints.entries {
             args.extend(["--entry".into(), entry.to_string().into()]);
         }
         args
--- a/standins/src/worker/mod.rs
+++ b/standins/src/worker/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a worker and its backend server; `docs/WORKER.md` is its page.
+//! Stand-in for a worker and its backend server; `docs/WORKER.md` describes its API.
 
 mod run;
 mod state;
@@ -28,21 +28,21 @@
 pub use state::Size;
 pub use state::Usage;
 
-/// Usage reports are that old, in milliseconds, when nothing else is said.
+/// Default age of usage reports, in milliseconds.
 const DEFAULT_USAGE_LAG_MS: u64 = 500;
 
-/// How the stand-in is set up.
+/// Options of the worker.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Where it listens.
+    /// Listen address.
     pub listen: net::SocketAddr,
-    /// What the worker has.
+    /// Resources of the worker.
     pub size: Size,
-    /// Age of usage reports in milliseconds.
+    /// Age of usage reports, in milliseconds.
     pub usage_lag_ms: u64,
-    /// Below 1: everything runs slower by this factor.
+    /// Speed relative to real time; 0.1 runs all tasks ten times slower.
     pub speed: f64,
-    /// Fails every task as soon as it is started.
+    /// Whether every task fails as soon as it is started.
     pub fail_all: bool,
 }
 
@@ -63,13 +63,13 @@
     }
 }
 
-/// `POST /v1/leases`.
+/// Body of `POST /v1/leases`.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct Renewal {
-    /// The tasks whose leases are renewed.
+    /// Ids of the tasks whose leases are renewed.
     pub tasks: Vec<SmolStr>,
-    /// Milliseconds from now.
+    /// Duration of the leases from now, in milliseconds.
     pub lease_ms: u64,
 }
 
@@ -77,15 +77,15 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Renewed {
-    /// Those of the tasks that don't run here.
+    /// Ids of the tasks that do not run on this worker.
     pub unknown: Vec<SmolStr>,
 }
 
-/// `POST /v1/tasks/ID/throttle`.
+/// Body of `POST /v1/tasks/ID/throttle`.
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct Throttle {
-    /// Above 0, at most 1: the share of its usual speed.
+    /// Fraction of the usual speed; above 0 and at most 1.
     pub factor: f64,
 }
 
@@ -99,7 +99,7 @@
 }
 
 impl Worker {
-    /// Listens and serves; needs a running actix system.
+    /// Binds the address and starts to serve. Requires a running actix system.
     pub fn start(options: Options) -> io::Result<Self> {
         let shared = sync::Arc::new(run::Shared::new(options));
         let data = web::Data::new(sync::Arc::clone(&shared));
@@ -115,22 +115,22 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// Returns the address that the worker listens on.
     pub const fn address(&self) -> net::SocketAddr {
         self.server.address()
     }
 
-    /// The same as `GET /v1/journal`.
+    /// Returns the same as `GET /v1/journal`.
     pub fn journal(&self, from: usize) -> Journal {
         lock(&self.shared.state).journal(from)
     }
 
-    /// Stops it with everything on it.
+    /// Stops the worker and all its tasks.
     pub async fn stop(self) {
         self.server.stop().await;
     }
 
-    /// Waits until it has ended.
+    /// Waits until the worker has stopped.
     pub async fn finished(self) -> io::Result<()> {
         self.server.finished().await
     }
@@ -138,23 +138,27 @@
 
 type Answer = Result<HttpResponse, server::BadBody>;
 
-fn done_or_unknown(found: bool) -> HttpResponse {
+fn ok_or_not_found(found: bool) -> HttpResponse {
     if found {
         return HttpResponse::Ok().json(serde_json::json!({}));
     }
-    server::refusal(StatusCode::NOT_FOUND, "no such task runs here")
+    server::json_error(
+        StatusCode::NOT_FOUND,
+        "no task with this id is running on this worker",
+    )
 }
 
 async fn start(shared: web::Data<Shared>, body: web::Bytes) -> Answer {
     let order: Order = server::read_json(&body)?;
     if order.task.is_empty() || order.lease_ms == 0 {
-        return Err(server::BadBody::Impossible(
-            "a task needs an id and a lease",
-        ));
+        return Err(server::BadBody::Invalid("a task needs an id and a lease"));
     }
     let ended = run::run(sync::Arc::clone(&shared), order).await;
     let Some(ended) = ended else {
-        return Ok(server::refusal(StatusCode::CONFLICT, "started here before"));
+        return Ok(server::json_error(
+            StatusCode::CONFLICT,
+            "a task with this id was already started on this worker",
+        ));
     };
     Ok(HttpResponse::Ok().json(ended))
 }
@@ -168,17 +172,17 @@
 }
 
 async fn stop(shared: web::Data<Shared>, id: web::Path<String>) -> HttpResponse {
-    done_or_unknown(lock(&shared.state).stop(&id))
+    ok_or_not_found(lock(&shared.state).stop(&id))
 }
 
 async fn throttle(shared: web::Data<Shared>, id: web::Path<String>, body: web::Bytes) -> Answer {
     let factor = server::read_json::<Throttle>(&body)?.factor;
     if !(factor > 0.0 && factor <= 1.0) {
-        return Err(server::BadBody::Impossible(
+        return Err(server::BadBody::Invalid(
             "the factor must be above 0 and at most 1",
         ));
     }
-    Ok(done_or_unknown(lock(&shared.state).throttle(&id, factor)))
+    Ok(ok_or_not_found(lock(&shared.state).throttle(&id, factor)))
 }
 
 async fn usage(shared: web::Data<Shared>) -> HttpResponse {
--- a/standins/src/worker/run.rs
+++ b/standins/src/worker/run.rs
@@ -1,4 +1,4 @@
-//! Runs one task: its work, its pace, its lease and its end.
+//! Runs one task until its work is done, its lease expires, or it is stopped.
 
 use std::sync;
 use std::time;
@@ -11,48 +11,48 @@
 use super::state;
 use crate::lock;
 
-/// Work left below this, in milliseconds, is rounding.
-const NO_WORK_MS: f64 = 0.001;
+/// Remaining work below this is a rounding error, in milliseconds.
+const MIN_WORK_MS: f64 = 0.001;
 
-/// No single wait is longer; a task looks again then.
+/// Maximum duration of one wait, after which a task checks its state again.
 const MAX_WAIT: time::Duration = time::Duration::from_secs(3600);
 
-/// What a task's payload tells the stand-in to do.
+/// Behaviour of a task, as described by its payload.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Payload {
-    /// Milliseconds of work.
+    /// Work, in milliseconds.
     pub sleep_ms: u64,
-    /// Ends as failed.
+    /// Whether the task fails.
     pub fail: bool,
-    /// Never ends by itself.
+    /// Whether the task runs until it is stopped or its lease expires.
     pub hang: bool,
-    /// The answer is sent so many milliseconds after the end.
+    /// Delay of the answer after the end of the task, in milliseconds.
     pub late_ms: u64,
-    /// The output; absent: `ok`.
+    /// Output; absent: `ok`, or `failed` if the task fails.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub output: Option<String>,
-    /// Thousandths of a core really used; absent: as declared.
+    /// Actual use, in thousandths of a core; absent: as declared.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub use_cpu_milli: Option<u32>,
-    /// Mebibytes really used; absent: as declared.
+    /// Actual use of memory, in MiB; absent: as declared.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub use_memory_mib: Option<u32>,
 }
 
 impl Payload {
-    /// Reads a payload; any other text is echoed at once.
-    fn read(text: &str) -> Self {
+    /// Parses a payload; text in another form is echoed as the output at once.
+    fn parse(text: &str) -> Self {
         let echo = || Self {
             output: Some(text.to_owned()),
             ..Self::default()
         };
-        // Only an object is a description, though serde would read an array too.
+        // Only an object describes a behaviour, though serde would also accept an array.
         if !text.trim_start().starts_with('{') {
             return echo();
         }
-        serde_json::from_str(text).unwrap_or_else(|_other| echo())
+        serde_json::from_str(text).unwrap_or_else(|_invalid| echo())
     }
 
     fn uses(&self, order: &state::Order) -> state::Size {
@@ -64,30 +64,30 @@
     }
 }
 
-/// How a task ended.
+/// Final status of a task.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// It did its work.
+    /// The work was completed.
     Done,
-    /// It failed.
+    /// The task failed.
     Failed,
-    /// It was stopped, or its lease lapsed.
+    /// The task was stopped, or its lease expired.
     Stopped,
 }
 
-/// The answer to `POST /v1/tasks`.
+/// Answer to `POST /v1/tasks`.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Ended {
-    /// How it ended.
+    /// Final status.
     pub status: Status,
-    /// What it put out, or why it ended.
+    /// Output of the task, or the reason why it was stopped.
     pub output: String,
-    /// Milliseconds it ran for.
+    /// Run time, in milliseconds.
     pub run_ms: u64,
-    /// The most that it used.
+    /// Peak use of resources.
     pub peak: state::Size,
 }
 
@@ -106,19 +106,19 @@
     }
 }
 
-/// Runs a task to its end; none if it was started here before.
+/// Runs a task to its end; returns `None` if it was already started on this worker.
 ///
-/// The work is a task of its own: when the caller's connection goes, the server drops
-/// this call, but the work goes on until its lease lapses, as on a real worker.
+/// The work is spawned separately. If the caller's connection closes, the server drops this
+/// call, but the work continues until its lease expires, as on a real worker.
 pub(super) async fn run(shared: sync::Arc<Shared>, order: state::Order) -> Option<Ended> {
-    let payload = Payload::read(&order.payload);
-    let late = time::Duration::from_millis(payload.late_ms);
+    let payload = Payload::parse(&order.payload);
+    let answer_delay = time::Duration::from_millis(payload.late_ms);
     let uses = payload.uses(&order);
     let wake = lock(&shared.state).start(&order, uses)?;
     let ended = actix_rt::spawn(work(shared, order, payload, wake));
     let ended = ended.await.ok()?;
-    if !late.is_zero() {
-        tokio::time::sleep(late).await;
+    if !answer_delay.is_zero() {
+        tokio::time::sleep(answer_delay).await;
     }
     Some(ended)
 }
@@ -133,7 +133,7 @@
     let (status, output) = if shared.options.fail_all {
         (Status::Failed, "this worker fails every task".to_owned())
     } else {
-        until_end(&shared, &order.task, &payload, &wake).await
+        run_until_end(&shared, &order.task, &payload, &wake).await
     };
     lock(&shared.state).end(&order.task);
     Ended {
@@ -144,7 +144,7 @@
     }
 }
 
-async fn until_end(
+async fn run_until_end(
     shared: &Shared,
     task: &str,
     payload: &Payload,
@@ -167,8 +167,8 @@
             }
             None => {}
         }
-        if left_ms < NO_WORK_MS {
-            return by_itself(payload);
+        if left_ms < MIN_WORK_MS {
+            return completion(payload);
         }
         let now = time::Instant::now();
         if now >= pace.lease_end {
@@ -184,7 +184,7 @@
     }
 }
 
-fn by_itself(payload: &Payload) -> (Status, String) {
+fn completion(payload: &Payload) -> (Status, String) {
     if payload.fail {
         let output = payload.output.clone();
         return (
--- a/standins/src/worker/state.rs
+++ b/standins/src/worker/state.rs
@@ -1,4 +1,4 @@
-//! What runs on the worker's stand-in and what it has run; no network.
+//! Running tasks, usage and journal of a worker, without network.
 
 use std::collections;
 use std::sync;
@@ -15,100 +15,100 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Size {
-    /// Thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_milli: u32,
-    /// Mebibytes.
+    /// Memory, in MiB.
     pub memory_mib: u32,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u32,
 }
 
-/// `POST /v1/tasks`.
+/// Body of `POST /v1/tasks`.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub struct Order {
-    /// The attempt's id; started at most once here.
+    /// Id of the attempt, which a worker starts at most once.
     pub task: SmolStr,
-    /// Whose task it is.
+    /// Team of the task.
     #[serde(default)]
     pub team: SmolStr,
-    /// What sort of task it is.
+    /// Kind of the task.
     #[serde(default)]
     pub kind: SmolStr,
-    /// What to do; see [`super::Payload`].
+    /// Behaviour of the task; see [`super::Payload`].
     #[serde(default)]
     pub payload: SmolStr,
-    /// Declared thousandths of a core.
+    /// Declared CPU, in thousandths of a core.
     #[serde(default)]
     pub cpu_milli: u32,
-    /// Declared mebibytes.
+    /// Declared memory, in MiB.
     #[serde(default)]
     pub memory_mib: u32,
-    /// Declared accelerators.
+    /// Declared number of accelerators.
     #[serde(default)]
     pub accelerators: u32,
-    /// Milliseconds until the task is stopped unless its lease is renewed.
+    /// Duration of the lease, in milliseconds; the task is stopped unless it is renewed.
     pub lease_ms: u64,
 }
 
-/// `GET /v1/usage`.
+/// Answer to `GET /v1/usage`.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Usage {
-    /// What the tasks use together; may be over the worker's size.
+    /// Resources used by all tasks; may exceed the worker's size.
     #[serde(flatten)]
     pub used: Size,
-    /// How many run.
+    /// Number of running tasks.
     pub tasks: usize,
-    /// The worker's own size.
+    /// Resources of the worker.
     pub size: Size,
 }
 
-/// What a journal entry tells of.
+/// Event of a journal entry.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
     /// The task was started.
     Start,
-    /// It ended, in whatever way.
+    /// The task ended, with whatever status.
     End,
 }
 
-/// One line of the journal.
+/// One entry of the journal.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Entry {
-    /// Counts the entries from 0.
+    /// Sequence number of the entry, from 0.
     pub number: usize,
-    /// What happened.
+    /// Event.
     pub event: Event,
-    /// The attempt's id.
+    /// Id of the attempt.
     pub task: SmolStr,
-    /// Whose task it is.
+    /// Team of the task.
     pub team: SmolStr,
-    /// What sort of task it is.
+    /// Kind of the task.
     pub kind: SmolStr,
-    /// What it was told to do.
+    /// Payload of the task.
     pub payload: SmolStr,
-    /// Milliseconds since 1970.
+    /// Time of the event, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// `GET /v1/journal`.
+/// Answer to `GET /v1/journal`.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Journal {
-    /// The starts and ends, in order.
+    /// Starts and ends of tasks, in order.
     pub entries: Vec<Entry>,
-    /// Starts refused because the task had been started here before.
+    /// Number of starts refused because the attempt had already been started.
     pub violations: u64,
 }
 
-/// Why a task is to end before its work is done.
+/// Reason to end a task before its work is done.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Interrupt {
-    /// Asked for.
+    /// A stop was requested.
     Stop,
     /// The worker ran out of memory.
     OutOfMemory,
@@ -131,14 +131,14 @@
     }
 }
 
-/// What a task has to know for its next stretch.
+/// Parameters of a running task, valid until the task is woken.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
     /// Milliseconds of work done per millisecond.
     pub(super) rate: f64,
-    /// When the lease lapses.
+    /// Expiry of the lease.
     pub(super) lease_end: time::Instant,
-    /// Why it ends now.
+    /// Reason to end the task now.
     pub(super) interrupt: Option<Interrupt>,
 }
 
@@ -164,7 +164,9 @@
         }
     }
 
-    /// Starts a task, fit or not; none if it was started here before.
+    /// Starts a task, even if the worker is overcommitted.
+    ///
+    /// Returns `None` if the attempt was already started on this worker.
     pub(super) fn start(&mut self, order: &Order, uses: Size) -> Option<sync::Arc<Notify>> {
         if !self.started.insert(order.task.clone()) {
             self.journal.violations += 1;
@@ -184,20 +186,20 @@
             running.interrupt = Some(Interrupt::OutOfMemory);
         }
         self.running.insert(order.task.clone(), running);
-        self.write(Event::Start, order);
-        self.changed();
+        self.add_entry(Event::Start, order);
+        self.usage_changed();
         Some(wake)
     }
 
-    /// Takes an ended task off.
+    /// Removes an ended task and adds its end to the journal.
     pub(super) fn end(&mut self, task: &str) {
         if let Some(ended) = self.running.remove(task) {
-            self.write(Event::End, &ended.order);
-            self.changed();
+            self.add_entry(Event::End, &ended.order);
+            self.usage_changed();
         }
     }
 
-    /// How a running task goes on.
+    /// Returns the current parameters of a running task.
     pub(super) fn pace(&self, task: &str) -> Option<Pace> {
         let running = self.running.get(task)?;
         Some(Pace {
@@ -207,32 +209,32 @@
         })
     }
 
-    /// Renews a lease; false if the task does not run here.
+    /// Renews a lease; returns `false` if the task is not running.
     pub(super) fn renew(&mut self, task: &str, lease_ms: u64) -> bool {
         let lease = time::Duration::from_millis(lease_ms);
-        self.with(task, |running| {
+        self.update(task, |running| {
             running.lease_end = time::Instant::now() + lease;
         })
     }
 
-    /// Stops a task; false if it does not run here.
+    /// Stops a task; returns `false` if it is not running.
     pub(super) fn stop(&mut self, task: &str) -> bool {
-        self.with(task, |running| running.interrupt = Some(Interrupt::Stop))
+        self.update(task, |running| running.interrupt = Some(Interrupt::Stop))
     }
 
-    /// Slows a task down to `factor`; false if it does not run here.
+    /// Slows a task down to `factor` of its speed; returns `false` if it is not running.
     pub(super) fn throttle(&mut self, task: &str, factor: f64) -> bool {
-        let found = self.with(task, |running| running.throttle = factor);
-        self.changed();
+        let found = self.update(task, |running| running.throttle = factor);
+        self.usage_changed();
         found
     }
 
-    /// The usage as it was the lag ago.
+    /// Returns the usage as of `usage_lag_ms` ago.
     pub(super) fn lagging_usage(&mut self) -> Usage {
         let lag = time::Duration::from_millis(self.options.usage_lag_ms);
         let now = time::Instant::now();
         let is_due = |at: time::Instant| now.duration_since(at) >= lag;
-        // The newest of the samples that are old enough stays for the next call.
+        // The newest sample that is old enough is kept for the next call.
         while self.usages.get(1).is_some_and(|(at, _)| is_due(*at)) {
             self.usages.pop_front();
         }
@@ -244,7 +246,7 @@
         due.map_or(idle, |(_, usage)| *usage)
     }
 
-    /// The journal from entry `from` on.
+    /// Returns the journal from entry `from` on.
     pub(super) fn journal(&self, from: usize) -> Journal {
         Journal {
             entries: self.journal.entries.iter().skip(from).cloned().collect(),
@@ -252,7 +254,7 @@
         }
     }
 
-    fn with(&mut self, task: &str, change: impl FnOnce(&mut Running)) -> bool {
+    fn update(&mut self, task: &str, change: impl FnOnce(&mut Running)) -> bool {
         let Some(running) = self.running.get_mut(task) else {
             return false;
         };
@@ -276,8 +278,8 @@
         }
     }
 
-    /// Keeps a usage sample, and wakes every task if all run at another pace now.
-    fn changed(&mut self) {
+    /// Records a usage sample, and wakes all tasks if their CPU share has changed.
+    fn usage_changed(&mut self) {
         self.lagging_usage();
         self.usages.push_back((time::Instant::now(), self.usage()));
         let cpu: f64 = self.running.values().map(Running::cpu).sum();
@@ -285,13 +287,15 @@
         let share = if cpu > size { size / cpu } else { 1.0 };
         if (share - self.share).abs() > f64::EPSILON {
             self.share = share;
-            self.running.values().for_each(|r| r.wake.notify_one());
+            self.running
+                .values()
+                .for_each(|running| running.wake.notify_one());
         }
     }
 
-    fn write(&mut self, event: Event, order: &Order) {
-        let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-        let at = since.unwrap_or_default().as_millis();
+    fn add_entry(&mut self, event: Event, order: &Order) {
+        let elapsed = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
+        let at = elapsed.unwrap_or_default().as_millis();
         self.journal.entries.push(Entry {
             number: self.journal.entries.len(),
             event,
--- a/standins/tests/naive.rs
+++ b/standins/tests/naive.rs
@@ -1,4 +1,4 @@
-//! The naive dispatcher does what it says, and no more.
+//! Tests of the naive dispatcher.
 
 use std::time;
 
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Nothing here takes this long; it only keeps a fault from hanging the run.
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Time limit that only a hanging call reaches.
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
 fn start(slots: usize) -> (naive::Naive, worker::Worker) {
     let worker = worker::Worker::start(worker::Options::default()).unwrap();
@@ -21,7 +21,7 @@
 }
 
 async fn post(naive: &naive::Naive, path: &str, body: &Value) -> (u16, Value) {
-    let client = awc::Client::builder().timeout(LIMIT).finish();
+    let client = awc::Client::builder().timeout(TIMEOUT).finish();
     let url = format!("http://{}{path}", naive.address());
     let mut answer = client.post(url).send_json(body).await.unwrap();
     (answer.status().as_u16(), answer.json().await.unwrap())
@@ -36,10 +36,10 @@
 }
 
 #[actix_rt::test]
-async fn whole_answer_in_the_order_of_the_tasks() {
+async fn complete_answer_lists_outputs_in_task_order() {
     let (naive, _worker) = start(8);
-    let (_, given) = post(&naive, "/v1/tickets", &json!({ "count": 2 })).await;
-    let id = given["tickets"][1].as_str().unwrap();
+    let (_, issued) = post(&naive, "/v1/tickets", &json!({ "count": 2 })).await;
+    let id = issued["tickets"][1].as_str().unwrap();
 
     let (status, answer) = post(&naive, "/v1/jobs", &job(id, &["a", "b", "c"], 20_000)).await;
 
@@ -63,7 +63,7 @@
 }
 
 #[actix_rt::test]
-async fn repeat_attaches_and_starts_nothing() {
+async fn repeated_submission_gets_the_answer_and_starts_nothing() {
     let (naive, worker) = start(8);
     let body = job("x", &[r#"{"sleep_ms": 100}"#], 0);
 
@@ -76,11 +76,11 @@
         (202, &json!(1), &json!(false))
     );
     assert_eq!(second["code"], 0);
-    assert_eq!(starts(&worker), [r#"{"sleep_ms": 100}"#]);
+    assert_eq!(started_payloads(&worker), [r#"{"sleep_ms": 100}"#]);
 }
 
 #[actix_rt::test]
-async fn one_slot_serves_in_the_order_of_arrival() {
+async fn single_slot_runs_tasks_in_order_of_arrival() {
     let (naive, worker) = start(1);
     let slow = [r#"{"sleep_ms": 50}"#, "a", "b"];
 
@@ -88,11 +88,14 @@
     let (_, last) = post(&naive, "/v1/jobs", &job("y", &["c"], 20_000)).await;
 
     assert_eq!(last["code"], 0);
-    assert_eq!(starts(&worker), [r#"{"sleep_ms": 50}"#, "a", "b", "c"]);
+    assert_eq!(
+        started_payloads(&worker),
+        [r#"{"sleep_ms": 50}"#, "a", "b", "c"]
+    );
 }
 
-/// Payloads in the order in which they were started.
-fn starts(worker: &worker::Worker) -> Vec<String> {
+/// Returns the payloads of the started tasks, in order.
+fn started_payloads(worker: &worker::Worker) -> Vec<String> {
     let entries = worker.journal(0).entries.into_iter();
     let starts = entries.filter(|entry| entry.event == worker::Event::Start);
     starts.map(|entry| entry.payload.to_string()).collect()
--- a/standins/tests/standins.rs
+++ b/standins/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behave as their pages say.
+//! Tests of the stand-ins' documented behaviour.
 
 use std::net;
 use std::path;
@@ -13,14 +13,14 @@
 use serde_json::Value;
 use serde_json::json;
 
-/// Nothing here takes this long; it only keeps a fault from hanging the run.
-const LIMIT: time::Duration = time::Duration::from_secs(30);
+/// Time limit that only a hanging call reaches.
+const TIMEOUT: time::Duration = time::Duration::from_secs(30);
 
-/// A lease that no test outlives.
+/// Duration of a lease that does not expire during a test.
 const LONG_LEASE_MS: u64 = 600_000;
 
 fn client() -> awc::Client {
-    awc::Client::builder().timeout(LIMIT).finish()
+    awc::Client::builder().timeout(TIMEOUT).finish()
 }
 
 async fn post(
@@ -38,10 +38,10 @@
     (answer.status(), body)
 }
 
-/// Looks again and again until `look` is true.
-async fn until(mut look: impl FnMut() -> bool) {
-    let end = time::Instant::now() + LIMIT;
-    while !look() {
+/// Waits until `condition` is true.
+async fn wait_until(mut condition: impl FnMut() -> bool) {
+    let end = time::Instant::now() + TIMEOUT;
+    while !condition() {
         assert!(time::Instant::now() < end, "did not come about");
         tokio::time::sleep(time::Duration::from_millis(2)).await;
     }
@@ -73,7 +73,7 @@
     })
 }
 
-fn starts(worker: &worker::Worker) -> usize {
+fn start_count(worker: &worker::Worker) -> usize {
     let entries = worker.journal(0).entries;
     entries
         .iter()
@@ -98,20 +98,20 @@
 }
 
 #[actix_web::test]
-async fn a_long_poll_wakes_on_the_append() {
+async fn long_poll_returns_on_append() {
     let (log, url) = fast_log();
     let poll_url = format!("{url}?from=0&wait_ms=600000");
     let poll = actix_rt::spawn(async move { get(&poll_url).await });
-    until(|| log.report().reads == 1).await;
+    wait_until(|| log.report().reads == 1).await;
 
     post(&url, &json!("late")).await.unwrap();
-    let page = tokio::time::timeout(LIMIT, poll).await.unwrap().unwrap();
+    let page = tokio::time::timeout(TIMEOUT, poll).await.unwrap().unwrap();
 
     assert_eq!(page.1["records"], json!([{"offset": 0, "record": "late"}]));
 }
 
 #[actix_web::test]
-async fn old_records_expire_by_count_and_on_demand() {
+async fn records_expire_by_count_and_on_demand() {
     let retention = log_service::streams::Retention {
         records: Some(3),
         age_ms: None,
@@ -139,10 +139,10 @@
     assert_eq!(on_demand["records"], json!([{"offset": 4, "record": 4}]));
 }
 
-/// A client's append gets no answer and the connection closes, yet readers see
-/// the record: the service had synced it before its answer was lost.
+/// The connection of an append closes without an answer, yet readers receive the record: the
+/// service has synced it before the answer is lost.
 #[actix_web::test]
-async fn a_lost_answer_leaves_the_record() {
+async fn lost_answer_keeps_the_record() {
     let (log, url) = fast_log();
     log.set_mode(log_service::Mode::LoseAnswers);
 
@@ -153,18 +153,18 @@
     assert_eq!(page["records"], json!([{"offset": 0, "record": "kept"}]));
 }
 
-/// An operator's append is answered, and no process hears of it: the service goes
-/// down between the append and the first read, a waiting reader's included.
+/// An append is answered, but no process receives the record: the service goes down between
+/// the append and the first read, including the reads that wait.
 #[actix_web::test]
-async fn down_after_an_append_no_reader_sees_it() {
+async fn log_down_after_append_hides_the_record_from_readers() {
     let (log, url) = fast_log();
     let poll_url = format!("{url}?wait_ms=600000");
     let poll = actix_rt::spawn(async move { get(&poll_url).await });
-    until(|| log.report().reads == 1).await;
+    wait_until(|| log.report().reads == 1).await;
     log.set_mode(log_service::Mode::DownAfterAppend);
 
     let answer = post(&url, &json!("unseen")).await.unwrap();
-    let waiting = tokio::time::timeout(LIMIT, poll).await.unwrap().unwrap();
+    let waiting = tokio::time::timeout(TIMEOUT, poll).await.unwrap().unwrap();
     let later = get(&url).await;
     log.set_mode(log_service::Mode::Up);
     let up_again = get(&url).await;
@@ -176,7 +176,7 @@
 }
 
 #[actix_web::test]
-async fn a_slow_log_and_a_delaying_relay_add_up() {
+async fn delays_of_log_and_relay_add_up() {
     let (log, url) = fast_log();
     let (relay, _) = relay_to(log.address()).await;
     let url = url.replace(&log.address().to_string(), &relay.address().to_string());
@@ -195,7 +195,7 @@
 }
 
 #[actix_web::test]
-async fn appends_over_the_rate_are_refused() {
+async fn appends_beyond_the_rate_are_refused() {
     let (log, url) = log(log_service::Options {
         append_ms: 0,
         appends_per_s: 1,
@@ -203,7 +203,7 @@
     });
 
     let mut refused = false;
-    until_async(async || {
+    wait_until_async(async || {
         refused = post(&url, &json!(0)).await.unwrap().0 == StatusCode::SERVICE_UNAVAILABLE;
         refused
     })
@@ -212,16 +212,16 @@
     assert_eq!(log.report().over_rate, 1);
 }
 
-/// As [`until`], with calls.
-async fn until_async(mut look: impl AsyncFnMut() -> bool) {
-    let end = time::Instant::now() + LIMIT;
-    while !look().await {
+/// Like [`wait_until`], with an asynchronous condition and no pause.
+async fn wait_until_async(mut condition: impl AsyncFnMut() -> bool) {
+    let end = time::Instant::now() + TIMEOUT;
+    while !condition().await {
         assert!(time::Instant::now() < end, "did not come about");
     }
 }
 
 #[actix_web::test]
-async fn a_task_runs_once_and_the_journal_counts_it() {
+async fn task_runs_once_and_repeated_start_is_a_violation() {
     let (worker, url) = worker(worker::Options::default());
     let tasks = format!("{url}/tasks");
     let order = order(
@@ -245,24 +245,27 @@
     );
     assert_eq!(journal["violations"], json!(1));
     assert_eq!(journal["entries"][0]["event"], json!("end"));
-    assert_eq!(starts(&worker), 1);
+    assert_eq!(start_count(&worker), 1);
 }
 
-/// The process beside a worker dies: its task's connection is gone and the lease is
-/// not renewed, so the worker stops the task by itself and not before.
+/// The runner of a worker dies: the connection of its task is closed and the lease is not
+/// renewed. The worker stops the task when the lease expires, and not before.
 #[actix_web::test]
-async fn a_task_ends_with_its_lease_and_lives_by_renewal() {
+async fn task_stops_when_its_lease_expires_unless_renewed() {
     let (worker, url) = worker(worker::Options::default());
     let tasks = format!("{url}/tasks");
     let renewed_order = order("renewed", &json!({"hang": true}), LONG_LEASE_MS);
     let renewed_url = tasks.clone();
     let renewed = actix_rt::spawn(async move { post(&renewed_url, &renewed_order).await });
-    until(|| starts(&worker) == 1).await;
+    wait_until(|| start_count(&worker) == 1).await;
 
     let lapsed = post(&tasks, &order("lapsed", &json!({"hang": true}), 30)).await;
     let renewal = json!({"tasks": ["renewed", "unknown"], "lease_ms": 1});
     let unknown = post(&format!("{url}/leases"), &renewal).await.unwrap();
-    let renewed = tokio::time::timeout(LIMIT, renewed).await.unwrap().unwrap();
+    let renewed = tokio::time::timeout(TIMEOUT, renewed)
+        .await
+        .unwrap()
+        .unwrap();
 
     let lapsed = lapsed.unwrap().1;
     assert_eq!(lapsed["status"], json!("stopped"));
@@ -271,18 +274,18 @@
     assert_eq!(renewed.unwrap().1["status"], json!("stopped"));
 }
 
-/// The caller of a task hangs up: the worker doesn't notice and runs the task until its
-/// lease lapses, which shows in the journal and not to any caller.
+/// The caller of a task closes its connection: the worker does not notice and runs the task
+/// until its lease expires, which only the journal shows.
 #[actix_web::test]
-async fn a_task_outlives_its_callers_connection() {
+async fn task_outlives_the_connection_of_its_caller() {
     let (worker, url) = worker(worker::Options::default());
     let order = order("a-1", &json!({"hang": true}), 200);
     let tasks = format!("{url}/tasks");
     let caller = actix_rt::spawn(async move { post(&tasks, &order).await });
-    until(|| starts(&worker) == 1).await;
+    wait_until(|| start_count(&worker) == 1).await;
 
     caller.abort();
-    until(|| worker.journal(0).entries.len() == 2).await;
+    wait_until(|| worker.journal(0).entries.len() == 2).await;
 
     let entries = worker.journal(0).entries;
     assert_eq!(entries[1].event, worker::Event::End);
@@ -290,12 +293,12 @@
 }
 
 #[actix_web::test]
-async fn a_throttle_is_checked() {
+async fn throttle_factor_and_task_are_validated() {
     let (worker, url) = worker(worker::Options::default());
     let order = order("a-1", &json!({"hang": true}), LONG_LEASE_MS);
     let tasks = format!("{url}/tasks");
     let running = actix_rt::spawn(async move { post(&tasks, &order).await });
-    until(|| starts(&worker) == 1).await;
+    wait_until(|| start_count(&worker) == 1).await;
     let throttle = format!("{url}/tasks/a-1/throttle");
 
     let good = post(&throttle, &json!({"factor": 0.1})).await.unwrap();
@@ -310,17 +313,20 @@
 }
 
 #[actix_web::test]
-async fn a_stopped_task_says_so() {
+async fn stopped_task_reports_status_stopped() {
     let (worker, url) = worker(worker::Options::default());
     let order = order("a-1", &json!({"hang": true}), LONG_LEASE_MS);
     let tasks = format!("{url}/tasks");
     let running = actix_rt::spawn(async move { post(&tasks, &order).await });
-    until(|| starts(&worker) == 1).await;
+    wait_until(|| start_count(&worker) == 1).await;
 
     let stop = post(&format!("{url}/tasks/a-1/stop"), &json!({}))
         .await
         .unwrap();
-    let ended = tokio::time::timeout(LIMIT, running).await.unwrap().unwrap();
+    let ended = tokio::time::timeout(TIMEOUT, running)
+        .await
+        .unwrap()
+        .unwrap();
     let again = post(&format!("{url}/tasks/a-1/stop"), &json!({}))
         .await
         .unwrap();
@@ -331,7 +337,7 @@
 }
 
 #[actix_web::test]
-async fn overcommitted_memory_kills_the_newest_and_cpu_slows_all() {
+async fn overcommitted_memory_fails_the_new_task_and_cpu_slows_all() {
     let size = worker::Size {
         cpu_milli: 500,
         memory_mib: 100,
@@ -360,7 +366,7 @@
 }
 
 #[actix_web::test]
-async fn usage_lags() {
+async fn usage_report_lags_behind() {
     let (worker, url) = worker(worker::Options {
         usage_lag_ms: LONG_LEASE_MS,
         ..worker::Options::default()
@@ -368,7 +374,7 @@
     let order = order("a-1", &json!({"hang": true}), LONG_LEASE_MS);
     let tasks = format!("{url}/tasks");
     let running = actix_rt::spawn(async move { post(&tasks, &order).await });
-    until(|| starts(&worker) == 1).await;
+    wait_until(|| start_count(&worker) == 1).await;
 
     let usage = get(&format!("{url}/usage")).await.1;
 
@@ -382,11 +388,11 @@
     (relay, url)
 }
 
-/// A caller's open connection goes silent for good while new ones work: something
-/// between the ends forgot it. The request is swallowed, the caller waits, and a
-/// fresh connection gets through at once.
+/// An open connection becomes silent for good while new ones work, as when a device between
+/// the ends loses its state. The request is dropped and the caller waits, while a new
+/// connection works at once.
 #[actix_web::test]
-async fn an_open_connection_goes_silent_while_new_ones_work() {
+async fn open_connection_becomes_silent_while_new_ones_work() {
     let (worker, _url) = worker(worker::Options::default());
     let (relay, url) = relay_to(worker.address()).await;
     let usage = format!("{url}/usage");
@@ -396,7 +402,7 @@
     relay.set(relay::Behaviour::SilentExisting);
     let call = old.get(&usage).send();
     let silent = actix_rt::spawn(async move { call.await.is_ok() });
-    until(|| relay.counts().swallowed_to_target_bytes > 0).await;
+    wait_until(|| relay.counts().swallowed_to_target_bytes > 0).await;
     let fresh = get(&usage).await;
 
     assert_eq!(fresh.0, StatusCode::OK);
@@ -404,10 +410,10 @@
     assert_eq!(relay.counts().open, 2);
 }
 
-/// A dispatch gets through and runs, and its answer never comes back: only the way
-/// back is silent, on new connections too.
+/// A dispatch reaches the worker and runs, but its answer never arrives: only the direction
+/// from the target is silent, also on new connections.
 #[actix_web::test]
-async fn silent_from_the_target_only_the_task_still_runs() {
+async fn task_runs_while_only_answers_are_dropped() {
     let (worker, _url) = worker(worker::Options::default());
     let (relay, url) = relay_to(worker.address()).await;
     let behaviour = relay::Behaviour::Silent {
@@ -418,20 +424,20 @@
 
     let order = order("a-1", &json!({}), LONG_LEASE_MS);
     let call = actix_rt::spawn(async move { post(&format!("{url}/tasks"), &order).await });
-    until(|| relay.counts().swallowed_from_target_bytes > 0).await;
+    wait_until(|| relay.counts().swallowed_from_target_bytes > 0).await;
     let answered = call.is_finished();
     relay.set(relay::Behaviour::Cut);
-    let cut = tokio::time::timeout(LIMIT, call).await.unwrap().unwrap();
+    let cut = tokio::time::timeout(TIMEOUT, call).await.unwrap().unwrap();
 
     assert!(!answered);
     assert!(cut.is_err(), "{cut:?}");
-    assert_eq!(starts(&worker), 1);
+    assert_eq!(start_count(&worker), 1);
 }
 
-/// The whole launcher: a process is found by the port that it prints, does nothing
-/// while frozen, answers once thawed, and is gone after SIGTERM.
+/// A process is reached at the port that it prints, does not answer while suspended, answers
+/// once resumed, and exits on SIGTERM.
 #[actix_web::test]
-async fn a_process_is_started_frozen_thawed_and_ended() {
+async fn process_is_started_suspended_resumed_and_terminated() {
     let folder = tempfile::tempdir().unwrap();
     let program = path::Path::new(env!("CARGO_BIN_EXE_standin-worker"));
     let args = ["--cpu-milli", "2000"];
@@ -440,21 +446,21 @@
 
     process.suspend().unwrap();
     let mut call = actix_rt::spawn(async move { get(&url).await });
-    let frozen = tokio::time::timeout(time::Duration::from_millis(100), &mut call).await;
+    let suspended = tokio::time::timeout(time::Duration::from_millis(100), &mut call).await;
     process.resume().unwrap();
-    let thawed = tokio::time::timeout(LIMIT, call).await.unwrap().unwrap();
+    let resumed = tokio::time::timeout(TIMEOUT, call).await.unwrap().unwrap();
     process.terminate().unwrap();
-    let exit = process.wait_exit(LIMIT).unwrap();
+    let exit = process.wait_exit(TIMEOUT).unwrap();
 
-    frozen.unwrap_err();
-    assert_eq!(thawed.1["size"]["cpu_milli"], json!(2000));
+    suspended.unwrap_err();
+    assert_eq!(resumed.1["size"]["cpu_milli"], json!(2000));
     assert!(exit.is_some());
     let out = std::fs::read_to_string(folder.path().join("worker.out")).unwrap();
     assert!(out.starts_with("listening 127.0.0.1:"), "{out}");
 }
 
 #[actix_web::test]
-async fn the_relay_and_the_log_are_processes_too() {
+async fn relay_and_log_run_as_processes() {
     let folder = tempfile::tempdir().unwrap();
     let log = env!("CARGO_BIN_EXE_standin-log");
     let relay = env!("CARGO_BIN_EXE_standin-relay");
