--- a/standins/src/log_service/mod.rs
+++ b/standins/src/log_service/mod.rs
@@ -324,10 +324,7 @@
     };
     let now_ms = shared.now_ms();
     if !lock(&shared.state).take_token(shared.options.appends_per_s, now_ms) {
-        return server::json_error(
-            StatusCode::SERVICE_UNAVAILABLE,
-            "the append rate exceeds the limit",
-        );
+        return server::json_error(StatusCode::SERVICE_UNAVAILABLE, "too many appends");
     }
     sleep_ms(shared.options.append_ms).await;
     match shared.append(&name, record) {
--- a/standins/src/naive/mod.rs
+++ b/standins/src/naive/mod.rs
@@ -84,7 +84,7 @@
 
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
-struct TicketRequest {
+struct TicketOrder {
     count: u64,
 }
 
@@ -97,7 +97,7 @@
 
 #[derive(Clone, Copy, Debug)]
 #[derive(Deserialize)]
-struct FetchQuery {
+struct Wait {
     #[serde(default)]
     wait_ms: u64,
 }
@@ -147,8 +147,8 @@
 type Reply = Result<HttpResponse, server::BadBody>;
 
 async fn tickets(answers: web::Data<answers::Answers>, body: web::Bytes) -> Reply {
-    let request: TicketRequest = server::read_json(&body)?;
-    let count = request.count.clamp(1, MAX_TICKETS);
+    let order: TicketOrder = server::read_json(&body)?;
+    let count = order.count.clamp(1, MAX_TICKETS);
     let tickets = (0..count).map(|_| answers.ticket()).collect();
     Ok(HttpResponse::Ok().json(Tickets {
         tickets,
@@ -164,9 +164,7 @@
 ) -> Reply {
     let submission: Submission = server::read_json(&body)?;
     if submission.tasks.is_empty() {
-        return Err(server::BadBody::Invalid(
-            "a submission needs at least one task",
-        ));
+        return Err(server::BadBody::Invalid("a submission has a task"));
     }
     let id = submission.submission.clone();
     let id = id.unwrap_or_else(|| answers.ticket().into());
@@ -182,7 +180,7 @@
 async fn fetch(
     answers: web::Data<answers::Answers>,
     id: web::Path<SmolStr>,
-    query: web::Query<FetchQuery>,
+    query: web::Query<Wait>,
 ) -> HttpResponse {
     answer(&answers, &id, query.wait_ms).await
 }
--- a/standins/src/platform/backend.rs
+++ b/standins/src/platform/backend.rs
@@ -32,7 +32,9 @@
 struct State {
     incarnation: Incarnation,
     runs: Vec<Run>,
+    /// Ends of runs: sequence number and index in `runs`.
     ends: Vec<(u64, usize)>,
+    /// Ended or stopped runs; a start of the same task up to that run number is refused.
     barred: collections::HashSet<(String, u32)>,
     lease_until: time::Instant,
     fence: u64,
@@ -155,6 +157,7 @@
         u64::try_from(reading.as_millis()).unwrap_or(u64::MAX)
     }
 
+    /// Converts a deadline on the server's clock, limited to [`MAX_LEASE`] from now.
     fn to_instant(&self, incarnation: Incarnation, clock_ms: u64) -> time::Instant {
         let offset = time::Duration::from_millis(clock_ms).div_f64(self.clock_rate);
         (incarnation.began + offset).min(time::Instant::now() + MAX_LEASE.div_f64(self.clock_rate))
@@ -201,6 +204,7 @@
         self.ends.push((number, index));
     }
 
+    /// Records the fence of a call; returns `false` if it is lower than an earlier one.
     fn admit_fence(&mut self, fence: u64) -> bool {
         let is_current = fence >= self.fence;
         self.fence = self.fence.max(fence);
--- a/standins/src/processes.rs
+++ b/standins/src/processes.rs
@@ -22,7 +22,7 @@
 /// Interval between two checks of a child's state.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(5);
 
-/// Maximum time until a process has stopped after SIGSTOP.
+/// Maximum time until a process is suspended after SIGSTOP.
 const SUSPEND_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// Label of the line with the address that a process serves.
--- a/standins/src/relay.rs
+++ b/standins/src/relay.rs
@@ -76,7 +76,7 @@
         #[serde(default)]
         new_too: bool,
     },
-    /// Open connections become silent in both directions, for good; new ones are not.
+    /// Open connections become silent in both directions, for good; new connections work.
     SilentExisting,
 }
 
@@ -297,7 +297,7 @@
     );
     let shared_state = sync::Arc::clone(shared);
     let task = tokio::spawn(async move {
-        // After an error both sides are closed, as TCP would do.
+        // An error in either direction closes both sides, like a failed TCP connection.
         drop(relaying.await);
         let mut state = lock(&shared_state);
         state.connections.remove(&id);
--- a/standins/src/worker/mod.rs
+++ b/standins/src/worker/mod.rs
@@ -142,10 +142,7 @@
     if found {
         return HttpResponse::Ok().json(serde_json::json!({}));
     }
-    server::json_error(
-        StatusCode::NOT_FOUND,
-        "no task with this id is running on this worker",
-    )
+    server::json_error(StatusCode::NOT_FOUND, "no such task runs here")
 }
 
 async fn start(shared: web::Data<Shared>, body: web::Bytes) -> Answer {
@@ -157,7 +154,7 @@
     let Some(ended) = ended else {
         return Ok(server::json_error(
             StatusCode::CONFLICT,
-            "a task with this id was already started on this worker",
+            "started here before",
         ));
     };
     Ok(HttpResponse::Ok().json(ended))
