--- a/standins/src/bin/standin-site.rs
+++ b/standins/src/bin/standin-site.rs
@@ -33,7 +33,7 @@
 /// Bearer token of the team `trial`, which every site has.
 const TOKEN: &str = "trial-token";
 
-/// Maximum time until all processes report fresh state.
+/// Maximum time until all processes know each other and the settings.
 const START_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 /// Interval between two checks of the processes.
--- a/standins/src/naive/answers.rs
+++ b/standins/src/naive/answers.rs
@@ -129,7 +129,7 @@
         Some(AnswerSender(tx))
     }
 
-    /// Waits for the final answer for at most `wait`; then returns an answer that is not final.
+    /// Waits at most `wait` for the final answer, else returns a provisional one.
     ///
     /// Returns `None` if the id is unknown.
     pub(super) async fn wait(&self, id: &str, wait: time::Duration) -> Option<Answer> {
--- a/standins/src/worker/state.rs
+++ b/standins/src/worker/state.rs
@@ -254,6 +254,7 @@
         }
     }
 
+    /// Changes a running task and wakes it; returns `false` if it is not running.
     fn update(&mut self, task: &str, change: impl FnOnce(&mut Running)) -> bool {
         let Some(running) = self.running.get_mut(task) else {
             return false;
