--- a/tests/failure/starts.rs
+++ b/tests/failure/at_most_once.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 
 use crate::check;
-use crate::cuts;
+use crate::relays;
 use crate::rig;
 
 /// When the entry that owns the submission is killed.
@@ -35,14 +35,14 @@
 }
 
 /// A site whose only runner is reached through a relay.
-fn relayed_rig(settings: &str) -> (rig::Rig, cuts::Relay) {
+fn relayed_rig(settings: &str) -> (rig::Rig, relays::Relay) {
     let mut rig = rig::Rig::start(&rig::Plan {
         runners: Vec::new(),
         settings: settings.to_owned(),
         ..rig::Plan::default()
     });
     let links = rig.links.clone();
-    let relay = cuts::runner_behind_relay(&mut rig, "runner-0", "caxias", &links);
+    let relay = relays::runner_behind_relay(&mut rig, "runner-0", "caxias", &links);
     rig.wait_until_serving(1);
     (rig, relay)
 }
@@ -268,7 +268,7 @@
 #[case::own_id(false)]
 fn first_attempt_arrives_after_second(#[case] has_ticket: bool) {
     let rig = rig::Rig::start(&rig::Plan::default());
-    let relay = cuts::Relay::start(&rig, rig.entries[0].address());
+    let relay = relays::Relay::start(&rig, rig.entries[0].address());
     relay.delay(700);
     let id = if has_ticket {
         Some(rig.ticket(0))
--- a/tests/failure/stops.rs
+++ b/tests/failure/graceful_stop.rs
@@ -7,9 +7,9 @@
 use bulrushtiller::api;
 use bulrushtiller::codes;
 
+use crate::background;
 use crate::check;
 use crate::rig;
-use crate::watch;
 
 /// Longest time for a graceful stop of what these tests run.
 const STOP: time::Duration = time::Duration::from_secs(20);
@@ -34,14 +34,14 @@
 fn entry_stopped_under_load_cuts_nothing() {
     let mut rig = rig::Rig::start(&rig::Plan::default());
     let entry = rig.entries[0].address();
-    let callers = watch::Callers::start(&[entry], 6, 10, 150);
+    let callers = background::Callers::start(&[entry], 6, 10, 150);
     sleep_ms(700);
 
     rig.entries[0].terminate().expect("told to stop");
     sleep_ms(200);
     let readiness = http_status(entry, "/readyz");
     sleep_ms(300);
-    let answers = watch::answers(callers.stop());
+    let answers = background::answers(callers.stop());
     let exit = rig.entries[0].wait_exit(STOP).expect("waited for");
 
     assert!(exit.expect("it ends").success());
@@ -69,7 +69,7 @@
         ..rig::job(&[rig::sleep(5_000, "elsewhere")])
     };
     let entry = rig.entries[0].address();
-    let caller = thread::spawn(move || watch::call(entry, &submission));
+    let caller = thread::spawn(move || background::call(entry, &submission));
     rig::wait_until("the task runs", || !rig.starts().is_empty());
 
     rig.entries[0].terminate().expect("told to stop");
@@ -77,7 +77,7 @@
     let exit = rig.entries[0].wait_exit(STOP).expect("waited for");
 
     assert!(exit.expect("it ends").success());
-    assert_eq!(watch::answers(outcome)[0].code, codes::Code::Complete);
+    assert_eq!(background::answers(outcome)[0].code, codes::Code::Complete);
 }
 
 /// Longer than a server that closes waits by itself for requests in progress (2 s), so
@@ -100,25 +100,25 @@
         settings: PATIENT.to_owned(),
         ..rig::Plan::default()
     });
-    let entries = watch::addresses(&rig.entries);
+    let entries = background::addresses(&rig.entries);
 
     let mut exits = Vec::new();
     let mut answers = Vec::new();
     for (at, entry) in entries.iter().copied().enumerate() {
         let long = rig::sleep(LONG_MS, &format!("long-{at}"));
         let submission = rig::job(&vec![long.clone(); LONG_TASKS]);
-        let caller = thread::spawn(move || watch::call(entry, &submission));
+        let caller = thread::spawn(move || background::call(entry, &submission));
         rig::wait_until("a long task runs there", || {
             let starts = rig.starts();
             let mut starts = starts.iter();
             starts.any(|(worker, one)| *worker == at && one.payload == long)
         });
-        let callers = watch::Callers::start(&entries, 3, 10, 100);
+        let callers = background::Callers::start(&entries, 3, 10, 100);
         rig.runners[at].terminate().expect("told to stop");
         exits.push(rig.runners[at].wait_exit(STOP).expect("waited for"));
         let long_job = caller.join().expect("the caller goes on");
-        answers.extend(watch::answers(vec![long_job]));
-        answers.extend(watch::answers(callers.stop()));
+        answers.extend(background::answers(vec![long_job]));
+        answers.extend(background::answers(callers.stop()));
     }
 
     assert!(exits.iter().all(|one| one.is_some_and(|one| one.success())));
@@ -141,7 +141,7 @@
     });
     let entry = rig.entries[0].address();
     let submission = rig::job(&vec![rig::sleep(500, "long"); 250]);
-    let caller = thread::spawn(move || watch::call(entry, &submission));
+    let caller = thread::spawn(move || background::call(entry, &submission));
     rig::wait_until("tasks run", || !rig.starts().is_empty());
 
     rig.entries[0].terminate().expect("told to stop");
@@ -149,7 +149,7 @@
     let exit = rig.entries[0].wait_exit(STOP).expect("waited for");
 
     assert!(exit.expect("it ends").success());
-    let answer = &watch::answers(outcome)[0];
+    let answer = &background::answers(outcome)[0];
     assert!(answer.is_final);
     assert_ne!(answer.code, codes::Code::Complete);
     assert_eq!(answer.tasks.len(), 250);
@@ -162,7 +162,7 @@
     let mut rig = rig::Rig::start(&rig::Plan::default());
     let entry = rig.entries[0].address();
     let submission = rig::job(&[rig::sleep(15_000, "long")]);
-    let caller = thread::spawn(move || watch::call(entry, &submission));
+    let caller = thread::spawn(move || background::call(entry, &submission));
     rig::wait_until("the task runs", || !rig.starts().is_empty());
 
     rig.entries[0].terminate().expect("told to stop");
@@ -175,7 +175,7 @@
 
     assert!(exit.expect("it ends").success());
     assert!(took < time::Duration::from_secs(8), "it took {took:?}");
-    let answer = &watch::answers(outcome)[0];
+    let answer = &background::answers(outcome)[0];
     assert!(answer.is_final);
     assert_ne!(answer.code.class(), codes::Class::NotRun, "it was running");
 }
--- a/tests/failure/input.rs
+++ b/tests/failure/input.rs
@@ -2,7 +2,7 @@
 
 mod callers;
 mod connections;
-mod figures;
+mod extreme_values;
 mod processes;
 
 use std::fs;
--- a/tests/failure/leaving.rs
+++ b/tests/failure/leaving.rs
@@ -8,8 +8,8 @@
 use bulrushtiller::ids;
 use bulrushtiller::wire;
 
+use crate::background;
 use crate::rig;
-use crate::watch;
 
 /// A heartbeat of the default settings, and as much again for a busy machine.
 const HEARTBEAT_MS: u64 = 1_000;
@@ -23,20 +23,20 @@
 #[test]
 fn leaving_runner_gets_no_new_work() {
     let mut rig = rig::Rig::start(&rig::Plan::default());
-    let entries = watch::addresses(&rig.entries);
-    let callers = watch::Callers::start(&entries, 2, 20, 100);
+    let entries = background::addresses(&rig.entries);
+    let callers = background::Callers::start(&entries, 2, 20, 100);
     thread::sleep(time::Duration::from_millis(500));
 
     rig.runners[0].terminate().expect("told to stop");
-    let told_ms = watch::unix_ms();
+    let told_ms = background::unix_ms();
     let exit = rig.runners[0].wait_exit(STOP).expect("waited for");
     thread::sleep(time::Duration::from_secs(1));
     let outcomes = callers.stop();
 
     assert!(exit.expect("it ends").success());
-    let late = watch::starts_between(&rig, &[0], told_ms + HEARTBEAT_MS, u64::MAX);
+    let late = background::starts_between(&rig, &[0], told_ms + HEARTBEAT_MS, u64::MAX);
     assert_eq!(late, Vec::<u64>::new(), "told at {told_ms}");
-    let answers = watch::answers(outcomes);
+    let answers = background::answers(outcomes);
     assert!(!answers.is_empty());
     let failed: Vec<_> = answers
         .iter()
@@ -58,13 +58,13 @@
     let entry = rig.entries[0].address();
     let long = rig::sleep(3_000, "long");
     let submission = rig::job(std::slice::from_ref(&long));
-    let caller = thread::spawn(move || watch::call(entry, &submission));
+    let caller = thread::spawn(move || background::call(entry, &submission));
     rig::wait_until("the task runs", || rig.starts_of(&long) == 1);
     rig.add_runner("later", "bento", &[]);
     rig.wait_until_serving(2);
 
     rig.runners[0].terminate().expect("told to stop");
-    let told_ms = watch::unix_ms();
+    let told_ms = background::unix_ms();
     let told = time::Instant::now();
     rig::wait_until("the entry knows", || {
         let peers = rig::status(entry).peers;
@@ -80,12 +80,12 @@
         known_in < time::Duration::from_millis(HEARTBEAT_MS),
         "{known_in:?}"
     );
-    let late = watch::starts_between(&rig, &[0], told_ms + HEARTBEAT_MS, u64::MAX);
+    let late = background::starts_between(&rig, &[0], told_ms + HEARTBEAT_MS, u64::MAX);
     assert_eq!(late, Vec::<u64>::new());
     let other = other.expect("an answer");
     assert_eq!(other.code, codes::Code::Complete);
     let outcome = vec![caller.join().expect("the caller goes on")];
-    assert_eq!(watch::answers(outcome)[0].code, codes::Code::Complete);
+    assert_eq!(background::answers(outcome)[0].code, codes::Code::Complete);
 }
 
 fn attempt(number: u64) -> ids::Attempt {
@@ -106,7 +106,7 @@
     let (entry, runner) = (rig.entries[0].address(), rig.runners[0].address());
     let long = rig::sleep(3_000, "long");
     let submission = rig::job(std::slice::from_ref(&long));
-    let caller = thread::spawn(move || watch::call(entry, &submission));
+    let caller = thread::spawn(move || background::call(entry, &submission));
     rig::wait_until("the task runs", || rig.starts_of(&long) == 1);
     let question = wire::Fence {
         version: wire::VERSION,
@@ -141,5 +141,5 @@
     let code = codes::Code::Leaving;
     assert_eq!(reply.outcome, wire::Outcome::NotStarted { code });
     assert_eq!(rig.starts_of(&rig::sleep(10, "on its way")), 0);
-    assert_eq!(watch::answers(outcome)[0].code, codes::Code::Complete);
+    assert_eq!(background::answers(outcome)[0].code, codes::Code::Complete);
 }
--- a/tests/failure/main.rs
+++ b/tests/failure/main.rs
@@ -3,21 +3,21 @@
 //! The programs of the whole workspace must be built first: `./test` does it.
 
 mod answers;
+mod at_most_once;
+mod background;
 mod check;
-mod cuts;
+mod graceful_stop;
+mod happy_path;
 mod idempotence;
 mod input;
 mod leaving;
 mod logs;
-mod passing;
-mod path;
+mod pass_on;
+mod peer_connections;
+mod permits;
 mod raw;
+mod relays;
+mod reported_outcomes;
 mod rig;
 mod settings;
-mod starts;
-mod stops;
-mod traffic;
-mod truth;
-mod turns;
-mod watch;
 mod zones;
--- a/tests/failure/passing.rs
+++ b/tests/failure/pass_on.rs
@@ -13,11 +13,11 @@
 use rstest::rstest;
 use smol_str::SmolStr;
 
+use crate::background;
 use crate::check;
-use crate::cuts;
 use crate::logs;
+use crate::relays;
 use crate::rig;
-use crate::watch;
 
 /// Has everything passed on, however many slots are free.
 const ALWAYS: &str = "[policy]\npass_on_below = 1.0\n";
@@ -131,9 +131,9 @@
 #[case::answers_only(relay::Behaviour::Silent { direction: relay::Direction::FromTarget, new_too: false })]
 #[case::requests_only(relay::Behaviour::Silent { direction: relay::Direction::ToTarget, new_too: false })]
 fn connections_between_entries_go_silent(#[case] behaviour: relay::Behaviour) {
-    let mut rig = cuts::bare(ALWAYS);
+    let mut rig = relays::bare(ALWAYS);
     let mut links = rig.links.clone();
-    let (relay, direct) = cuts::entry_behind_relay(&mut rig, "entry-0", "caxias", &links);
+    let (relay, direct) = relays::entry_behind_relay(&mut rig, "entry-0", "caxias", &links);
     links.entries.push(relay.address());
     let place = site::Location::new("entry-1", "bento");
     let second = rig.site.entry(&place, &links).expect("an entry starts");
@@ -244,7 +244,7 @@
 
     let caller = rig.entries[1].address();
     let submission = rig::job(&[long.payload(0).to_owned()]);
-    let waiting = thread::spawn(move || watch::call(caller, &submission));
+    let waiting = thread::spawn(move || background::call(caller, &submission));
     rig::wait_until("it runs", || rig.starts_of(long.payload(0)) == 1);
     let ticket = rig.ticket(0);
     rig.entries[0].terminate().expect("told to stop");
@@ -253,7 +253,7 @@
     let declined = pass_on_by_hand(&rig, &ticket);
     let later = (0..20).map(|at| told(&format!("later-{at}"), 20).submit(&rig, 1));
     let answers: Vec<_> = later.collect();
-    let first = watch::answers(vec![waiting.join().expect("the caller goes on")]);
+    let first = background::answers(vec![waiting.join().expect("the caller goes on")]);
     let exit = rig.entries[0].wait_exit(time::Duration::from_secs(20));
 
     for answer in answers {
--- a/tests/failure/traffic.rs
+++ b/tests/failure/peer_connections.rs
@@ -6,7 +6,7 @@
 use bulrushtiller::api;
 use bulrushtiller::codes;
 
-use crate::cuts;
+use crate::relays;
 use crate::rig;
 
 /// Nobody is taken for dead, and nothing is asked about, while the test runs.
@@ -61,7 +61,7 @@
     };
     let mut rig = rig::Rig::start(&plan);
     let links = rig.links.clone();
-    let relay = cuts::runner_behind_relay(&mut rig, "runner-0", "caxias", &links);
+    let relay = relays::runner_behind_relay(&mut rig, "runner-0", "caxias", &links);
     rig.wait_until_serving(1);
     let before = relay.accepted();
 
--- a/tests/failure/truth.rs
+++ b/tests/failure/reported_outcomes.rs
@@ -8,16 +8,16 @@
 use bulrushtiller_standins::relay;
 
 use crate::check;
-use crate::cuts;
+use crate::relays;
 use crate::rig;
 
-fn relayed_rig() -> (rig::Rig, cuts::Relay) {
+fn relayed_rig() -> (rig::Rig, relays::Relay) {
     let mut rig = rig::Rig::start(&rig::Plan {
         runners: Vec::new(),
         ..rig::Plan::default()
     });
     let links = rig.links.clone();
-    let relay = cuts::runner_behind_relay(&mut rig, "runner-0", "caxias", &links);
+    let relay = relays::runner_behind_relay(&mut rig, "runner-0", "caxias", &links);
     rig.wait_until_serving(1);
     (rig, relay)
 }
--- a/tests/failure/rig.rs
+++ b/tests/failure/rig.rs
@@ -19,7 +19,7 @@
 use serde::de;
 use smol_str::SmolStr;
 
-use crate::turns;
+use crate::permits;
 
 /// Longest wait for anything that is expected to happen.
 pub const LIMIT: time::Duration = time::Duration::from_secs(30);
@@ -75,7 +75,7 @@
     pub workers: Vec<processes::Process>,
     pub links: site::Endpoints,
     _folder: tempfile::TempDir,
-    _turn: turns::Turn,
+    _turn: permits::Turn,
 }
 
 /// The folder with the built programs: the test runs from its `deps`.
@@ -96,7 +96,7 @@
 impl Rig {
     /// Starts a site and waits until it serves.
     pub fn start(plan: &Plan) -> Self {
-        let turn = turns::take();
+        let turn = permits::take();
         let folder = tempfile::tempdir().expect("a temporary folder");
         let site = site::Site::new(&programs(), folder.path()).logging("debug");
         let log = site.log(&plan.log).expect("the log starts");
--- a/tests/failure/settings.rs
+++ b/tests/failure/settings.rs
@@ -9,9 +9,9 @@
 use bulrushtiller_standins::relay;
 use bulrushtiller_standins::site;
 
-use crate::cuts;
+use crate::background;
+use crate::relays;
 use crate::rig;
-use crate::watch;
 
 const STREAM: &str = "/v1/streams/settings/records";
 
@@ -59,7 +59,7 @@
         ..rig::Plan::default()
     });
     let revision = rig.set_zone("caxias", true);
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
     let covers = |one: &&serde_json::Value| {
         one["record"]["type"] == "checkpoint" && one["record"]["revision"] == revision
     };
@@ -77,8 +77,8 @@
     rig.add_entry("new-entry", "bento");
     rig.add_runner("new-runner", "caxias", &[]);
 
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
-    for address in watch::daemons(&rig) {
+    background::wait_for_revision(&background::daemons(&rig), revision);
+    for address in background::daemons(&rig) {
         let status = rig::status(address);
         assert_eq!(status.revision, Some(revision));
         assert_eq!(status.zones_out, vec!["caxias"]);
@@ -91,7 +91,7 @@
 #[test]
 fn of_racing_operators_exactly_one_wins() {
     let rig = rig::Rig::start(&rig::Plan::default());
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
+    let revisions = background::Revisions::watch(background::daemons(&rig));
     let base = revision_of(rig.entries[0].address());
 
     let race: Vec<_> = std::thread::scope(|scope| {
@@ -119,9 +119,9 @@
         };
         rig.entries.iter().all(|one| has_all(one.address()))
     });
-    watch::wait_for_revision(&watch::daemons(&rig), first);
+    background::wait_for_revision(&background::daemons(&rig), first);
 
-    for address in watch::daemons(&rig) {
+    for address in background::daemons(&rig) {
         assert_eq!(revision_of(address), Some(first));
     }
     for entry in &rig.entries {
@@ -148,7 +148,7 @@
 #[test]
 fn repeated_append_does_not_undo_a_later_change() {
     let rig = rig::Rig::start(&rig::Plan::default());
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
+    let revisions = background::Revisions::watch(background::daemons(&rig));
     let first = change("lost", &limit(1_111), None);
 
     rig.control_log(&serde_json::json!({"mode": "lose_answers"}));
@@ -163,10 +163,10 @@
         };
         rig.entries.iter().all(saw)
     });
-    watch::wait_for_revision(&watch::daemons(&rig), later);
+    background::wait_for_revision(&background::daemons(&rig), later);
 
     assert_eq!(unanswered, None);
-    for address in watch::daemons(&rig) {
+    for address in background::daemons(&rig) {
         assert_eq!(revision_of(address), Some(later));
     }
     revisions.assert_monotone();
@@ -179,7 +179,7 @@
 fn entries_replaced_all_at_once_are_found() {
     let mut rig = rig::Rig::start(&rig::Plan::default());
     let revision = rig.set_zone("bento", true);
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
 
     rig.entries.clear();
     for name in ["entry-0", "entry-1"] {
@@ -197,7 +197,7 @@
     let answer = rig.submit(1, &rig::job(&vec![rig::sleep(20, "again"); 4]));
 
     assert_eq!(answer.expect("an answer").code, codes::Code::Complete);
-    for address in watch::daemons(&rig) {
+    for address in background::daemons(&rig) {
         assert_eq!(revision_of(address), Some(revision));
     }
 }
@@ -209,8 +209,8 @@
 fn replaced_during_an_outage_take_the_state_from_peers() {
     let mut rig = rig::Rig::start(&rig::Plan::default());
     let revision = rig.set_zone("caxias", true);
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
+    background::wait_for_revision(&background::daemons(&rig), revision);
+    let revisions = background::Revisions::watch(background::daemons(&rig));
 
     rig.control_log(&serde_json::json!({"mode": "down"}));
     drop(rig.entries.remove(1));
@@ -218,7 +218,7 @@
     rig.add_entry("entry-1b", "bento");
     drop(rig.runners.remove(2));
     rig.add_runner("runner-2b", "bento", &[]);
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
     rig::wait_until("the new entry serves with the new runner", || {
         let status = rig::status(rig.entries[1].address());
         let mut peers = status.peers.iter();
@@ -241,7 +241,7 @@
 fn processes_without_settings_do_nothing_until_the_log_is_back() {
     let mut rig = rig::Rig::start(&rig::Plan::default());
     let revision = rig.set_zone("caxias", true);
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
 
     rig.control_log(&serde_json::json!({"mode": "down"}));
     rig.entries.clear();
@@ -264,7 +264,7 @@
         .map(|one| rig::status(one.address()).fresh)
         .collect();
     rig.control_log(&serde_json::json!({"mode": "up"}));
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
     rig.wait_until_serving(2);
     let after = rig.submit(0, &rig::job(&vec![rig::sleep(20, "after"); 4]));
 
@@ -283,20 +283,20 @@
 // it from the changes behind it.
 #[test]
 fn runner_cut_off_from_the_log_hears_through_entries() {
-    let mut rig = cuts::bare("");
+    let mut rig = relays::bare("");
     rig.add_entry("entry-0", "bento");
-    let log = cuts::Relay::start(&rig, rig.log.address());
+    let log = relays::Relay::start(&rig, rig.log.address());
     let links = site::Endpoints {
         log: log.address(),
         entries: rig.links.entries.clone(),
     };
-    cuts::runner_with(&mut rig, "runner-0", "caxias", &links);
+    relays::runner_with(&mut rig, "runner-0", "caxias", &links);
     rig.wait_until_serving(1);
 
     log.cut();
     let from = rig.put_settings("20-more.toml", "[timeouts]\ncheckpoint_ms = 100\n");
     let began = time::Instant::now();
-    watch::wait_for_revision(&[rig.runners[0].address()], from);
+    background::wait_for_revision(&[rig.runners[0].address()], from);
     let took = began.elapsed();
     rig::wait_until("a checkpoint is on the log", || {
         log_records(&rig)
@@ -304,7 +304,7 @@
             .any(|one| one["record"]["type"] == "checkpoint")
     });
     let after = rig.put_settings("50-limits.toml", &limit(3_333));
-    watch::wait_for_revision(&[rig.runners[0].address()], after);
+    background::wait_for_revision(&[rig.runners[0].address()], after);
 
     assert!(took < time::Duration::from_secs(5), "it took {took:?}");
     let changed = |event: &audit::Event| matches!(event, audit::Event::Accepted { made, .. } if made.offset == after);
@@ -318,8 +318,8 @@
 /// Guards against settings that never arrive because they take longer than a read may.
 #[test]
 fn settings_that_take_long_on_their_way_come_into_force() {
-    let mut rig = cuts::bare("");
-    let log = cuts::Relay::start(&rig, rig.log.address());
+    let mut rig = relays::bare("");
+    let log = relays::Relay::start(&rig, rig.log.address());
     let links = site::Endpoints {
         log: log.address(),
         entries: Vec::new(),
@@ -335,7 +335,7 @@
     log.set(&relay::Behaviour::Pace { bytes_per_s });
     let began = time::Instant::now();
     let revision = rig.put_settings("50-limits.toml", &(filler + &limit(3_333)));
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
     let took = began.elapsed();
 
     assert!(took > way / 2, "the way carried more than it should");
--- a/tests/failure/zones.rs
+++ b/tests/failure/zones.rs
@@ -7,9 +7,9 @@
 use bulrushtiller::codes;
 use bulrushtiller_standins::site;
 
-use crate::cuts;
+use crate::background;
+use crate::relays;
 use crate::rig;
-use crate::watch;
 
 /// `timeouts.fresh_ms` of these tests.
 const FRESH_MS: u64 = 1_500;
@@ -54,24 +54,24 @@
 #[test]
 fn zone_taken_out_with_the_log_slow() {
     let rig = rig::Rig::start(&plan());
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
-    let entries = watch::addresses(&rig.entries);
-    let callers = watch::Callers::start(&entries, 2, 4, 30);
+    let revisions = background::Revisions::watch(background::daemons(&rig));
+    let entries = background::addresses(&rig.entries);
+    let callers = background::Callers::start(&entries, 2, 4, 30);
 
     rig.control_log(&serde_json::json!({"mode": "slow", "slow_ms": 700}));
     rig.set_zone("caxias", true);
-    let answered_ms = watch::unix_ms();
+    let answered_ms = background::unix_ms();
     sleep_ms(BOUND_MS + 2_000);
     let outcomes = callers.stop();
 
-    let before = watch::starts_between(&rig, &CAXIAS, 0, answered_ms);
-    let late = watch::starts_between(&rig, &CAXIAS, answered_ms + BOUND_MS, FAR);
-    let on = watch::starts_between(&rig, &BENTO, answered_ms + BOUND_MS, FAR);
+    let before = background::starts_between(&rig, &CAXIAS, 0, answered_ms);
+    let late = background::starts_between(&rig, &CAXIAS, answered_ms + BOUND_MS, FAR);
+    let on = background::starts_between(&rig, &BENTO, answered_ms + BOUND_MS, FAR);
     assert!(!before.is_empty(), "the zone was in use");
     assert_eq!(late, Vec::<u64>::new(), "answered at {answered_ms}");
     assert!(!on.is_empty(), "work goes on in the other zone");
     assert!(
-        watch::answers(outcomes)
+        background::answers(outcomes)
             .iter()
             .all(|one| one.code == codes::Code::Complete)
     );
@@ -84,23 +84,23 @@
 #[test]
 fn zone_taken_out_with_the_log_down_just_after_the_append() {
     let rig = rig::Rig::start(&plan());
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
-    let entries = watch::addresses(&rig.entries);
+    let revisions = background::Revisions::watch(background::daemons(&rig));
+    let entries = background::addresses(&rig.entries);
 
     rig.control_log(&serde_json::json!({"mode": "down_after_append"}));
     let revision = rig.set_zone("caxias", true);
     sleep_ms(BOUND_MS);
     let during = rig.submit(0, &rig::job(&vec![rig::sleep(20, "during"); 8]));
     rig.control_log(&serde_json::json!({"mode": "up"}));
-    let up_ms = watch::unix_ms();
-    let callers = watch::Callers::start(&entries, 2, 4, 30);
+    let up_ms = background::unix_ms();
+    let callers = background::Callers::start(&entries, 2, 4, 30);
     sleep_ms(BOUND_MS + 1_000);
-    watch::answers(callers.stop());
+    background::answers(callers.stop());
 
-    let late = watch::starts_between(&rig, &CAXIAS, up_ms + BOUND_MS, FAR);
+    let late = background::starts_between(&rig, &CAXIAS, up_ms + BOUND_MS, FAR);
     assert_eq!(during.expect("an answer").code, codes::Code::Complete);
     assert_eq!(late, Vec::<u64>::new(), "up again at {up_ms}");
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
     revisions.assert_monotone();
 }
 
@@ -109,8 +109,8 @@
 // entry, and after the bound nothing starts in caxias.
 #[test]
 fn change_read_by_one_entry_reaches_those_cut_off_from_the_log() {
-    let mut rig = cuts::bare(SETTINGS);
-    let log = cuts::Relay::start(&rig, rig.log.address());
+    let mut rig = relays::bare(SETTINGS);
+    let log = relays::Relay::start(&rig, rig.log.address());
     rig.add_entry("reader", "bento");
     let links = site::Endpoints {
         log: log.address(),
@@ -119,27 +119,27 @@
     rig.links.log = links.log;
     rig.add_entry("other", "caxias");
     for (name, zone) in [("r-0", "caxias"), ("r-1", "caxias"), ("r-2", "bento")] {
-        cuts::runner_with(&mut rig, name, zone, &links);
+        relays::runner_with(&mut rig, name, zone, &links);
     }
     rig.wait_until_serving(3);
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
-    let entries = watch::addresses(&rig.entries);
-    let callers = watch::Callers::start(&entries, 2, 4, 30);
+    let revisions = background::Revisions::watch(background::daemons(&rig));
+    let entries = background::addresses(&rig.entries);
+    let callers = background::Callers::start(&entries, 2, 4, 30);
 
     log.cut();
     let revision = rig.set_zone("caxias", true);
-    let answered_ms = watch::unix_ms();
-    watch::wait_for_revision(&entries[..1], revision);
+    let answered_ms = background::unix_ms();
+    background::wait_for_revision(&entries[..1], revision);
     rig.control_log(&serde_json::json!({"mode": "down"}));
     sleep_ms(BOUND_MS + 1_500);
     let outcomes = callers.stop();
 
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
-    let late = watch::starts_between(&rig, &CAXIAS, answered_ms + BOUND_MS, FAR);
-    let on = watch::starts_between(&rig, &BENTO, answered_ms + BOUND_MS, FAR);
+    background::wait_for_revision(&background::daemons(&rig), revision);
+    let late = background::starts_between(&rig, &CAXIAS, answered_ms + BOUND_MS, FAR);
+    let on = background::starts_between(&rig, &BENTO, answered_ms + BOUND_MS, FAR);
     assert_eq!(late, Vec::<u64>::new(), "answered at {answered_ms}");
     assert!(!on.is_empty(), "work goes on in the other zone");
-    watch::answers(outcomes);
+    background::answers(outcomes);
     revisions.assert_monotone();
 }
 
@@ -148,13 +148,13 @@
 // callers get their whole answers from the other runners.
 #[test]
 fn runner_cut_off_from_everything_starts_nothing() {
-    let mut rig = cuts::bare(SETTINGS);
-    let log = cuts::Relay::start(&rig, rig.log.address());
+    let mut rig = relays::bare(SETTINGS);
+    let log = relays::Relay::start(&rig, rig.log.address());
     let none = site::Endpoints {
         log: rig.log.address(),
         entries: Vec::new(),
     };
-    let (relay, direct) = cuts::entry_behind_relay(&mut rig, "entry-0", "bento", &none);
+    let (relay, direct) = relays::entry_behind_relay(&mut rig, "entry-0", "bento", &none);
     let cut_off = site::Endpoints {
         log: log.address(),
         entries: vec![relay.address()],
@@ -163,25 +163,25 @@
         log: rig.log.address(),
         entries: vec![direct],
     };
-    cuts::runner_with(&mut rig, "cut-off", "bento", &cut_off);
-    cuts::runner_with(&mut rig, "well-0", "bento", &well);
-    cuts::runner_with(&mut rig, "well-1", "caxias", &well);
+    relays::runner_with(&mut rig, "cut-off", "bento", &cut_off);
+    relays::runner_with(&mut rig, "well-0", "bento", &well);
+    relays::runner_with(&mut rig, "well-1", "caxias", &well);
     rig.wait_until_serving(3);
-    let callers = watch::Callers::start(&[rig.entries[0].address()], 3, 8, 30);
+    let callers = background::Callers::start(&[rig.entries[0].address()], 3, 8, 30);
     sleep_ms(500);
 
     log.cut();
     relay.cut();
-    let cut_ms = watch::unix_ms();
+    let cut_ms = background::unix_ms();
     sleep_ms(FRESH_MS + START_MS + 1_500);
     let outcomes = callers.stop();
 
-    let before = watch::starts_between(&rig, &[0], 0, cut_ms);
-    let late = watch::starts_between(&rig, &[0], cut_ms + FRESH_MS + START_MS, FAR);
+    let before = background::starts_between(&rig, &[0], 0, cut_ms);
+    let late = background::starts_between(&rig, &[0], cut_ms + FRESH_MS + START_MS, FAR);
     assert!(!before.is_empty(), "the runner was in use");
     assert_eq!(late, Vec::<u64>::new(), "cut at {cut_ms}");
     assert!(
-        watch::answers(outcomes)
+        background::answers(outcomes)
             .iter()
             .all(|one| one.code == codes::Code::Complete)
     );
@@ -192,29 +192,29 @@
 // starts there, and callers at its entry are told truthfully that nothing ran.
 #[test]
 fn zone_cut_off_from_the_log_and_other_zones_starts_nothing() {
-    let mut rig = cuts::bare(SETTINGS);
-    let log = cuts::Relay::start(&rig, rig.log.address());
+    let mut rig = relays::bare(SETTINGS);
+    let log = relays::Relay::start(&rig, rig.log.address());
     let none = site::Endpoints {
         log: rig.log.address(),
         entries: Vec::new(),
     };
-    let (bento, bento_direct) = cuts::entry_behind_relay(&mut rig, "entry-b", "bento", &none);
+    let (bento, bento_direct) = relays::entry_behind_relay(&mut rig, "entry-b", "bento", &none);
     let in_bento = site::Endpoints {
         log: rig.log.address(),
         entries: vec![bento_direct],
     };
-    let runner = cuts::runner_behind_relay(&mut rig, "runner-b", "bento", &in_bento);
+    let runner = relays::runner_behind_relay(&mut rig, "runner-b", "bento", &in_bento);
     let to_bento = site::Endpoints {
         log: log.address(),
         entries: vec![bento.address()],
     };
     let (caxias, caxias_direct) =
-        cuts::entry_behind_relay(&mut rig, "entry-c", "caxias", &to_bento);
+        relays::entry_behind_relay(&mut rig, "entry-c", "caxias", &to_bento);
     let in_caxias = site::Endpoints {
         log: log.address(),
         entries: vec![caxias_direct, bento.address()],
     };
-    cuts::runner_with(&mut rig, "runner-c", "caxias", &in_caxias);
+    relays::runner_with(&mut rig, "runner-c", "caxias", &in_caxias);
     rig.wait_until_serving(2);
     let before = rig.submit(1, &rig::job(&vec![rig::sleep(20, "before"); 8]));
 
@@ -223,18 +223,18 @@
     runner.cut();
     caxias.cut();
     let revision = rig.set_zone("caxias", true);
-    let cut_ms = watch::unix_ms();
+    let cut_ms = background::unix_ms();
     sleep_ms(DEAD_AFTER_MS + START_MS);
     let mut submission = rig::job(&vec![rig::sleep(20, "after"); 4]);
     submission.deadline_ms = Some(1_500);
     let after = rig.submit(1, &submission).expect("an answer");
 
-    let late = watch::starts_between(&rig, &[1], cut_ms + FRESH_MS + START_MS, FAR);
+    let late = background::starts_between(&rig, &[1], cut_ms + FRESH_MS + START_MS, FAR);
     assert_eq!(before.expect("an answer").code, codes::Code::Complete);
     assert_eq!(late, Vec::<u64>::new(), "cut at {cut_ms}");
     assert_eq!(after.code.class(), codes::Class::NotRun);
     log.mend();
-    watch::wait_for_revision(&watch::daemons(&rig), revision);
+    background::wait_for_revision(&background::daemons(&rig), revision);
 }
 
 // Work is queued, waits at runners and runs when caxias is taken out; it comes back
@@ -243,28 +243,28 @@
 #[test]
 fn zone_out_and_in_and_out_again_under_load() {
     let rig = rig::Rig::start(&plan());
-    let revisions = watch::Revisions::watch(watch::daemons(&rig));
-    let entries = watch::addresses(&rig.entries);
-    let callers = watch::Callers::start(&entries, 2, 40, 60);
+    let revisions = background::Revisions::watch(background::daemons(&rig));
+    let entries = background::addresses(&rig.entries);
+    let callers = background::Callers::start(&entries, 2, 40, 60);
     sleep_ms(500);
 
     rig.set_zone("caxias", true);
-    let first_out_ms = watch::unix_ms();
+    let first_out_ms = background::unix_ms();
     sleep_ms(BOUND_MS + 1_000);
-    let in_ms = watch::unix_ms();
+    let in_ms = background::unix_ms();
     rig.set_zone("caxias", false);
     sleep_ms(1_500);
     rig.set_zone("caxias", true);
-    let second_out_ms = watch::unix_ms();
+    let second_out_ms = background::unix_ms();
     sleep_ms(BOUND_MS + 1_000);
     let outcomes = callers.stop();
 
-    let late = watch::starts_between(&rig, &CAXIAS, first_out_ms + BOUND_MS, in_ms);
-    let back = watch::starts_between(&rig, &CAXIAS, in_ms, second_out_ms);
-    let again = watch::starts_between(&rig, &CAXIAS, second_out_ms + BOUND_MS, FAR);
+    let late = background::starts_between(&rig, &CAXIAS, first_out_ms + BOUND_MS, in_ms);
+    let back = background::starts_between(&rig, &CAXIAS, in_ms, second_out_ms);
+    let again = background::starts_between(&rig, &CAXIAS, second_out_ms + BOUND_MS, FAR);
     assert_eq!((late, again), (Vec::new(), Vec::new()));
     assert!(!back.is_empty(), "the zone worked again when it was back");
-    let answers = watch::answers(outcomes);
+    let answers = background::answers(outcomes);
     let failed: Vec<_> = answers
         .iter()
         .filter(|one| one.code != codes::Code::Complete)
@@ -289,18 +289,18 @@
 // now is answered a little later. It starts nothing: its evidence has aged.
 #[test]
 fn frozen_runner_thaws_and_starts_nothing() {
-    let mut rig = cuts::bare(PATIENT);
-    let log = cuts::Relay::start(&rig, rig.log.address());
+    let mut rig = relays::bare(PATIENT);
+    let log = relays::Relay::start(&rig, rig.log.address());
     let none = site::Endpoints {
         log: rig.log.address(),
         entries: Vec::new(),
     };
-    let (entry, _direct) = cuts::entry_behind_relay(&mut rig, "entry-0", "bento", &none);
+    let (entry, _direct) = relays::entry_behind_relay(&mut rig, "entry-0", "bento", &none);
     let links = site::Endpoints {
         log: log.address(),
         entries: vec![entry.address()],
     };
-    cuts::runner_with(&mut rig, "runner-0", "caxias", &links);
+    relays::runner_with(&mut rig, "runner-0", "caxias", &links);
     rig.wait_until_serving(1);
     log.delay(300);
     entry.delay(300);
@@ -314,7 +314,7 @@
     sleep_ms(100);
     rig.runners[0].suspend().expect("frozen");
     rig.set_zone("caxias", true);
-    let answered_ms = watch::unix_ms();
+    let answered_ms = background::unix_ms();
     sleep_ms(BOUND_MS + 500);
     let handed_out = rig::status(rig.entries[0].address()).running;
     rig.runners[0].resume().expect("thawed");
@@ -324,7 +324,7 @@
             .is_some_and(|answer| answer.is_final)
     });
 
-    let late = watch::starts_between(&rig, &[0], answered_ms + BOUND_MS, FAR);
+    let late = background::starts_between(&rig, &[0], answered_ms + BOUND_MS, FAR);
     assert!(handed_out > 8, "some tasks waited at the runner");
     assert_eq!(late, Vec::<u64>::new(), "answered at {answered_ms}");
 }
@@ -335,21 +335,21 @@
 #[test]
 fn frozen_entry_thaws_and_its_work_starts_elsewhere() {
     let mut rig = rig::Rig::start(&plan());
-    let callers = watch::Callers::start(&[rig.entries[0].address()], 2, 40, 60);
+    let callers = background::Callers::start(&[rig.entries[0].address()], 2, 40, 60);
     sleep_ms(400);
 
     rig.entries[0].suspend().expect("frozen");
     rig.set_zone("caxias", true);
-    let answered_ms = watch::unix_ms();
+    let answered_ms = background::unix_ms();
     sleep_ms(BOUND_MS + 500);
     rig.entries[0].resume().expect("thawed");
-    let thawed_ms = watch::unix_ms();
+    let thawed_ms = background::unix_ms();
     sleep_ms(1_500);
     let outcomes = callers.stop();
 
-    let late = watch::starts_between(&rig, &CAXIAS, answered_ms + BOUND_MS, FAR);
-    let on = watch::starts_between(&rig, &BENTO, thawed_ms, FAR);
+    let late = background::starts_between(&rig, &CAXIAS, answered_ms + BOUND_MS, FAR);
+    let on = background::starts_between(&rig, &BENTO, thawed_ms, FAR);
     assert_eq!(late, Vec::<u64>::new(), "answered at {answered_ms}");
     assert!(!on.is_empty(), "its work went on in the other zone");
-    watch::answers(outcomes);
+    background::answers(outcomes);
 }
