--- a/tests/failure/main.rs
+++ b/tests/failure/main.rs
@@ -1,23 +1,23 @@
-//! Tests of the whole path as separate processes, under failure.
+//! End-to-end tests under failure, with every part in a process of its own.
 //!
-//! The programs of the whole workspace must be built first: `./test` does it.
+//! They need the binaries of the whole workspace; `./test` builds them first.
 
 mod answers;
+mod at_most_once;
+mod background;
 mod check;
-mod cuts;
+mod graceful_stop;
+mod happy_path;
 mod idempotence;
 mod input;
 mod leaving;
 mod logs;
-mod passing;
-mod path;
+mod pass_on;
+mod peer_connections;
+mod permits;
 mod raw;
+mod relays;
+mod reported_outcomes;
 mod rig;
 mod settings;
-mod starts;
-mod stops;
-mod traffic;
-mod truth;
-mod turns;
-mod watch;
 mod zones;
