--- a/measure/tests/servers.rs
+++ b/measure/tests/servers.rs
@@ -49,10 +49,13 @@
     let rows = rows(pattern, &sim::Site::taipa(), LOAD);
 
     let ours = row(&rows, "ours");
-    let off = row(&rows, "switched off");
+    let without_ejection = row(&rows, "switched off");
 
     let cost = |figures: &report::Figures| figures.failed + figures.over_twice;
-    assert!(cost(&ours) <= cost(&off), "{ours:?} {off:?}");
+    assert!(
+        cost(&ours) <= cost(&without_ejection),
+        "{ours:?} {without_ejection:?}"
+    );
     assert!(ours.wasted <= MAX_WASTED, "{ours:?}");
     assert_eq!(ours.double_starts, 0);
 }
