--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
-    pub(super) keeper: settings_replica::SettingsReplica,
+    pub(super) settings_replica: settings_replica::SettingsReplica,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<jobs::Key, Vec<Waiter>>,
     pub(super) claim_waiters: collections::HashMap<claims::ScopedId, Vec<oneshot::Sender<()>>>,
@@ -71,12 +71,12 @@
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let (name, zone) = (parts.me.name.clone(), parts.me.zone.clone());
-        let keeper = settings_replica::SettingsReplica::new(name, zone, now_ms);
-        let settings = sync::Arc::clone(keeper.state().settings());
+        let settings_replica = settings_replica::SettingsReplica::new(name, zone, now_ms);
+        let settings = sync::Arc::clone(settings_replica.state().settings());
         let seed = parts.me.incarnation.0;
         Self {
             core: core::Core::new(parts.me.clone(), settings, now_ms, seed),
-            keeper,
+            settings_replica,
             contacts: contacts::Contacts::new(parts.me.address.clone(), &parts.entries),
             waiters: collections::HashMap::new(),
             claim_waiters: collections::HashMap::new(),
--- a/src/entry/operator_queries.rs
+++ b/src/entry/operator_queries.rs
@@ -8,7 +8,7 @@
     type Result = actix::MessageResult<control::GetAudit>;
 
     fn handle(&mut self, message: control::GetAudit, _cx: &mut Self::Context) -> Self::Result {
-        actix::MessageResult(self.keeper.audit(message.0))
+        actix::MessageResult(self.settings_replica.audit(message.0))
     }
 }
 
@@ -33,6 +33,6 @@
     type Result = actix::MessageResult<control::GetSettings>;
 
     fn handle(&mut self, message: control::GetSettings, _cx: &mut Self::Context) -> Self::Result {
-        actix::MessageResult(self.keeper.reply(&message.0))
+        actix::MessageResult(self.settings_replica.reply(&message.0))
     }
 }
--- a/src/entry/updates.rs
+++ b/src/entry/updates.rs
@@ -14,7 +14,7 @@
 
 impl control::Control {
     pub(super) fn settings_changed(&mut self, cx: &actix::Context<Self>) {
-        let state = self.keeper.state();
+        let state = self.settings_replica.state();
         let settings = sync::Arc::clone(state.settings());
         let revision = state.revision();
         let now_ms = self.now_ms();
@@ -31,7 +31,7 @@
         if !self.core.freshness().has_evidence() {
             return;
         }
-        let settings = sync::Arc::clone(self.keeper.state().settings());
+        let settings = sync::Arc::clone(self.settings_replica.state().settings());
         if let Ok(mut snapshot) = self.parts.snapshot.write() {
             *snapshot = Some(settings);
             self.is_published = true;
@@ -50,7 +50,7 @@
 
     pub(super) fn write_checkpoint_if_due(&mut self) {
         let (now_ms, seed) = (self.now_ms(), self.parts.me.incarnation.0);
-        if let Some(checkpoint) = self.keeper.checkpoint_due(now_ms, seed) {
+        if let Some(checkpoint) = self.settings_replica.checkpoint_due(now_ms, seed) {
             streams::write_checkpoint(&self.parts.pool, self.parts.log.clone(), checkpoint);
         }
     }
@@ -136,8 +136,8 @@
             .core
             .heartbeat_answered(now_ms, message.sent_at_ms, &reply);
         self.publish_if_unpublished();
-        if is_behind || self.keeper.is_missing_records() {
-            let position = self.keeper.state().position();
+        if is_behind || self.settings_replica.is_missing_records() {
+            let position = self.settings_replica.state().position();
             let done = cx.address().recipient();
             let pool = &self.parts.pool;
             heartbeats::fetch_settings(pool, message.address, position, done);
@@ -152,7 +152,7 @@
         let heartbeats::SettingsDone { address, reply } = message;
         let (now_ms, unix_ms) = (self.now_ms(), clock::unix_ms());
         let taken = self
-            .keeper
+            .settings_replica
             .apply_peer_reply(now_ms, unix_ms, &address, reply);
         if taken.is_changed {
             self.settings_changed(cx);
@@ -166,7 +166,9 @@
     fn handle(&mut self, message: streams::LogRead, cx: &mut Self::Context) -> u64 {
         let now_ms = self.now_ms();
         if let Some(batch) = message.batch {
-            let taken = self.keeper.apply_log_batch(now_ms, clock::unix_ms(), batch);
+            let taken = self
+                .settings_replica
+                .apply_log_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
                 self.core.freshness().record_log_read(message.sent_at_ms);
             }
@@ -176,7 +178,7 @@
             self.publish_if_unpublished();
             self.write_checkpoint_if_due();
         }
-        self.keeper.read_from()
+        self.settings_replica.read_from()
     }
 }
 
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
-    pub(super) keeper: settings_replica::SettingsReplica,
+    pub(super) settings_replica: settings_replica::SettingsReplica,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<ids::Attempt, Vec<Waiter>>,
     pub(super) parts: Parts,
@@ -79,14 +79,14 @@
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let me = &parts.runner.me;
-        let keeper =
+        let settings_replica =
             settings_replica::SettingsReplica::new(me.name.clone(), me.zone.clone(), now_ms);
-        let settings = sync::Arc::clone(keeper.state().settings());
+        let settings = sync::Arc::clone(settings_replica.state().settings());
         let own = me.address.clone();
         let search = announcements::Search::new(now_ms, me.incarnation.0);
         Self {
             core: core::Core::new(parts.runner.clone(), settings, now_ms),
-            keeper,
+            settings_replica,
             contacts: contacts::Contacts::new(own, &parts.entries),
             waiters: collections::HashMap::new(),
             parts,
@@ -156,13 +156,13 @@
     }
 
     pub(super) fn settings_changed(&mut self, cx: &actix::Context<Self>) {
-        let settings = sync::Arc::clone(self.keeper.state().settings());
+        let settings = sync::Arc::clone(self.settings_replica.state().settings());
         let actions = self.core.set_settings(settings);
         self.execute(cx, actions);
     }
 
     pub(super) fn timeouts(&self) -> crate::settings::Timeouts {
-        self.keeper.state().settings().timeouts
+        self.settings_replica.state().settings().timeouts
     }
 
     pub(super) fn send_heartbeats(&mut self, cx: &actix::Context<Self>) {
@@ -193,7 +193,7 @@
             version: wire::VERSION,
             sender: self.core.me().clone(),
             leaving: self.core.is_leaving(),
-            revision: self.keeper.state().revision(),
+            revision: self.settings_replica.state().revision(),
             evidence: self.core.freshness().evidence(now_ms),
             load: Some(load),
             slots: 0,
@@ -222,7 +222,7 @@
         }
         self.is_reading_log = true;
         self.counts.log_reads += 1;
-        let position = self.keeper.read_from();
+        let position = self.settings_replica.read_from();
         let done = cx.address().recipient();
         let (pool, clock) = (&self.parts.pool, self.parts.clock);
         streams::read_once(pool, clock, self.parts.log.clone(), position, done);
--- a/src/runner/operator_requests.rs
+++ b/src/runner/operator_requests.rs
@@ -16,7 +16,7 @@
     type Result = actix::MessageResult<control::GetAudit>;
 
     fn handle(&mut self, message: control::GetAudit, _cx: &mut Self::Context) -> Self::Result {
-        actix::MessageResult(self.keeper.audit(message.0))
+        actix::MessageResult(self.settings_replica.audit(message.0))
     }
 }
 
@@ -33,11 +33,11 @@
             incarnation: smol_str::format_smolstr!("{}", me.incarnation),
             zone: me.zone,
             leaving: self.core.is_leaving(),
-            revision: self.keeper.state().revision(),
+            revision: self.settings_replica.state().revision(),
             has_settings: self.core.freshness().has_evidence(),
             log_age_ms: evidence.log_age_ms,
             fresh: self.core.is_fresh(now_ms),
-            zones_out: self.keeper.state().settings().zones_out(),
+            zones_out: self.settings_replica.state().settings().zones_out(),
             leader: None,
             queued: self.core.waiting() as u64,
             running: self.core.running() as u64,
@@ -53,7 +53,7 @@
         let counter = metrics::Sample::counter;
         let gauge = metrics::Sample::gauge;
         let revision = self
-            .keeper
+            .settings_replica
             .state()
             .revision()
             .map_or(0, |revision| revision + 1);
@@ -105,7 +105,7 @@
     type Result = actix::MessageResult<control::GetSettings>;
 
     fn handle(&mut self, message: control::GetSettings, _cx: &mut Self::Context) -> Self::Result {
-        actix::MessageResult(self.keeper.reply(&message.0))
+        actix::MessageResult(self.settings_replica.reply(&message.0))
     }
 }
 
--- a/src/runner/updates.rs
+++ b/src/runner/updates.rs
@@ -34,7 +34,7 @@
             version: wire::VERSION,
             sender: self.core.me().clone(),
             leaving: self.core.is_leaving(),
-            revision: self.keeper.state().revision(),
+            revision: self.settings_replica.state().revision(),
             evidence: self.core.freshness().evidence(now_ms),
             entries: list.entries,
             entries_digest: list.digest,
@@ -56,9 +56,9 @@
         self.contacts.restore_entries(&message.address, &mut reply);
         self.contacts
             .record_reply(self.now_ms(), &message.address, &reply);
-        let is_behind = reply.revision > self.keeper.state().revision();
-        if is_behind || self.keeper.is_missing_records() {
-            let position = self.keeper.state().position();
+        let is_behind = reply.revision > self.settings_replica.state().revision();
+        if is_behind || self.settings_replica.is_missing_records() {
+            let position = self.settings_replica.state().position();
             let done = cx.address().recipient();
             let pool = &self.parts.pool;
             heartbeats::fetch_settings(pool, message.address, position, done);
@@ -82,7 +82,7 @@
         let heartbeats::SettingsDone { address, reply } = message;
         let (now_ms, unix_ms) = (self.now_ms(), clock::unix_ms());
         let taken = self
-            .keeper
+            .settings_replica
             .apply_peer_reply(now_ms, unix_ms, &address, reply);
         if taken.is_changed {
             self.settings_changed(cx);
@@ -98,7 +98,9 @@
         let now_ms = self.now_ms();
         self.read_log_after_ms = now_ms + LOG_READ_PAUSE_MS;
         if let Some(batch) = message.batch {
-            let taken = self.keeper.apply_log_batch(now_ms, clock::unix_ms(), batch);
+            let taken = self
+                .settings_replica
+                .apply_log_batch(now_ms, clock::unix_ms(), batch);
             if taken.is_at_end {
                 self.core.freshness().record_log_read(message.sent_at_ms);
             }
@@ -106,7 +108,7 @@
                 self.settings_changed(cx);
             }
         }
-        self.keeper.read_from()
+        self.settings_replica.read_from()
     }
 }
 
