--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -277,12 +277,12 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "Option<bool>")]
-pub struct WantState(pub SmolStr);
+pub struct GetState(pub SmolStr);
 
-impl actix::Handler<WantState> for Control {
+impl actix::Handler<GetState> for Control {
     type Result = Option<bool>;
 
-    fn handle(&mut self, WantState(id): WantState, _cx: &mut Self::Context) -> Option<bool> {
+    fn handle(&mut self, GetState(id): GetState, _cx: &mut Self::Context) -> Option<bool> {
         self.dispatcher.is_started(&id)
     }
 }
@@ -291,12 +291,12 @@
 #[derive(Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "usize")]
-pub struct WantPending(pub SmolStr);
+pub struct GetPending(pub SmolStr);
 
-impl actix::Handler<WantPending> for Control {
+impl actix::Handler<GetPending> for Control {
     type Result = usize;
 
-    fn handle(&mut self, WantPending(queue): WantPending, _cx: &mut Self::Context) -> usize {
+    fn handle(&mut self, GetPending(queue): GetPending, _cx: &mut Self::Context) -> usize {
         self.dispatcher.pending(&queue)
     }
 }
@@ -345,12 +345,12 @@
 #[derive(Clone, Copy, Debug)]
 #[derive(actix::Message)]
 #[rtype(result = "messages::Known")]
-pub struct WantKnown;
+pub struct GetKnown;
 
-impl actix::Handler<WantKnown> for Control {
-    type Result = actix::MessageResult<WantKnown>;
+impl actix::Handler<GetKnown> for Control {
+    type Result = actix::MessageResult<GetKnown>;
 
-    fn handle(&mut self, _want: WantKnown, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: GetKnown, _cx: &mut Self::Context) -> Self::Result {
         let directives = self.dispatcher.directives().get();
         let is_configured = directives.is_configured();
         actix::MessageResult(messages::Known {
--- a/src/leased/peers.rs
+++ b/src/leased/peers.rs
@@ -55,7 +55,7 @@
 }
 
 async fn known(control: web::Data<actix::Addr<entry::Control>>) -> actix_web::HttpResponse {
-    match control.send(entry::WantKnown).await {
+    match control.send(entry::GetKnown).await {
         Ok(known) => incoming::message(&known),
         Err(_stopped) => incoming::refuse(codes::Code::Leaving),
     }
