--- a/src/leased/entry.rs
+++ b/src/leased/entry.rs
@@ -391,7 +391,7 @@
 impl actix::Handler<control::GetMetrics> for Control {
     type Result = actix::MessageResult<control::GetMetrics>;
 
-    fn handle(&mut self, _want: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
         let counts = self.dispatcher.counts();
         let counter = metrics::Sample::counter;
         let gauge = metrics::Sample::gauge;
--- a/src/leased/runner.rs
+++ b/src/leased/runner.rs
@@ -283,7 +283,7 @@
 impl actix::Handler<control::GetMetrics> for Control {
     type Result = actix::MessageResult<control::GetMetrics>;
 
-    fn handle(&mut self, _want: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, _message: control::GetMetrics, _cx: &mut Self::Context) -> Self::Result {
         let load = self.capacity.load(self.clock.now_ms());
         let is_ready = u64::from(load.readiness == messages::Readiness::Ready);
         let runs = self.capacity.runs() as u64;
