--- a/src/leased/job.rs
+++ b/src/leased/job.rs
@@ -36,7 +36,7 @@
             display("a step may only depend on earlier steps")
         }
         /// Unsupported feature.
-        NotOffered(what: &'static str) {
+        Unsupported(what: &'static str) {
             display("{what} is not supported")
         }
     }
@@ -52,7 +52,7 @@
     /// Steps of the job.
     pub steps: Vec<RawStep>,
     /// Unsupported feature that the job requests, if any.
-    pub not_offered: Option<&'static str>,
+    pub unsupported: Option<&'static str>,
 }
 
 /// Step before validation.
@@ -128,8 +128,8 @@
 
     fn try_from(raw: RawJob) -> Result<Self, JobError> {
         check_id(&raw.id)?;
-        if let Some(what) = raw.not_offered {
-            return Err(JobError::NotOffered(what));
+        if let Some(what) = raw.unsupported {
+            return Err(JobError::Unsupported(what));
         }
         if raw.spec.len() > MAX_SPEC_BYTES {
             return Err(JobError::Spec);
--- a/tests/unit/leased/fixtures.rs
+++ b/tests/unit/leased/fixtures.rs
@@ -87,7 +87,7 @@
             estimate_ms,
             ..job::RawStep::default()
         }],
-        not_offered: None,
+        unsupported: None,
     };
     job::Job::try_from(raw).expect("a valid job")
 }
--- a/tests/unit/leased/jobs.rs
+++ b/tests/unit/leased/jobs.rs
@@ -11,7 +11,7 @@
         id: "5c0e7a21d94b36f8".into(),
         spec: "check".to_owned(),
         steps,
-        not_offered: None,
+        unsupported: None,
     }
 }
 
