--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -266,12 +266,12 @@
     attempt: ids::Attempt,
 ) -> bool {
     loop {
-        let asked_ms = clock.now_ms();
+        let sent_at_ms = clock.now_ms();
         let may_start = control.send(messages::MayStart(attempt)).await;
         if !may_start.unwrap_or(false) {
             return false;
         }
-        if clock.now_ms() - asked_ms <= MAX_PERMISSION_AGE_MS {
+        if clock.now_ms() - sent_at_ms <= MAX_PERMISSION_AGE_MS {
             return true;
         }
     }
