--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -96,7 +96,7 @@
     /// This incarnation never starts it.
     Barred {
         /// Whether this incarnation owns it, so that no other one starts it either.
-        is_mine: bool,
+        is_owner: bool,
     },
     /// Another incarnation owns it.
     Other(Claimer),
@@ -169,7 +169,7 @@
         match &known.owner {
             Some(owner) if *owner != self.me => ClaimState::Other(owner.clone()),
             owner if known.is_barred => ClaimState::Barred {
-                is_mine: owner.is_some(),
+                is_owner: owner.is_some(),
             },
             Some(_) => ClaimState::Mine {
                 is_used: known.is_used,
@@ -251,7 +251,7 @@
         if !is_known && self.by_id.len() >= MAX_IDS {
             return self.overflow(offset);
         }
-        let is_mine = *by == self.me;
+        let is_own_claim = *by == self.me;
         let until_ms = self.pending.get(id).copied();
         let known = self.by_id.entry(id.clone()).or_insert(Claim {
             owner: None,
@@ -264,7 +264,7 @@
             known.offset = offset;
             // Read back after its timeout or after it was given up; by then the call has been
             // refused as not run.
-            known.is_barred |= is_mine && until_ms.is_none_or(|until_ms| until_ms <= now);
+            known.is_barred |= is_own_claim && until_ms.is_none_or(|until_ms| until_ms <= now);
         }
         self.unsent.retain(|unsent| unsent != id);
         let was_pending = self.pending.remove(id).is_some();
--- a/src/entry/calls.rs
+++ b/src/entry/calls.rs
@@ -354,8 +354,8 @@
             claims::ClaimState::Unclaimed => Owner::Unclaimed(name),
             claims::ClaimState::Pending => Owner::Claiming(name),
             claims::ClaimState::Mine { .. } => Owner::Here,
-            claims::ClaimState::Barred { is_mine } => {
-                Owner::Unknown(codes::Code::ClaimUnavailable, is_mine)
+            claims::ClaimState::Barred { is_owner } => {
+                Owner::Unknown(codes::Code::ClaimUnavailable, is_owner)
             }
             claims::ClaimState::Other(by) => self.owning_entry(now_ms, &by.entry, by.incarnation),
         }
--- a/src/entry/claiming.rs
+++ b/src/entry/claiming.rs
@@ -65,7 +65,7 @@
         id: ids::SubmissionId,
     ) -> api::Answer {
         let claim_state = self.claim_state(team, &id);
-        let is_final = claim_state == Some(claims::ClaimState::Barred { is_mine: true });
+        let is_final = claim_state == Some(claims::ClaimState::Barred { is_owner: true });
         self.counts.refused += 1;
         api::Answer {
             retry_after_ms: Some(CLAIM_RETRY_MS),
--- a/tests/unit/claims.rs
+++ b/tests/unit/claims.rs
@@ -165,7 +165,7 @@
                         );
                     }
                     claims::ClaimState::Other(by) => prop_assert_eq!(self.owner(&id), Some(&by)),
-                    claims::ClaimState::Barred { is_mine: true } => {
+                    claims::ClaimState::Barred { is_owner: true } => {
                         prop_assert_eq!(self.owner(&id), Some(me));
                     }
                     _ => {}
@@ -200,7 +200,7 @@
                 let state = table.state(&id);
                 let is_open = matches!(
                     state,
-                    claims::ClaimState::Unclaimed | claims::ClaimState::Barred { is_mine: false }
+                    claims::ClaimState::Unclaimed | claims::ClaimState::Barred { is_owner: false }
                 );
                 !is_claimed || !is_open
             };
@@ -228,7 +228,7 @@
     let settled = table.apply(1, &page);
 
     assert_eq!(settled, vec![scoped_id(0)]);
-    let barred = claims::ClaimState::Barred { is_mine: false };
+    let barred = claims::ClaimState::Barred { is_owner: false };
     assert_eq!(table.state(&scoped_id(0)), barred);
 }
 
