--- a/src/leased/dispatch/directives_fetch.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -8,7 +8,7 @@
 
 use smol_str::SmolStr;
 
-/// Time that the store has to deliver a change before another entry is asked, in milliseconds.
+/// Time that the store has to deliver a change before it is fetched from another entry, in milliseconds.
 ///
 /// Both transfers share one link, and a change has to be in force within two seconds.
 const STORE_WAIT_MS: u64 = 700;
@@ -22,7 +22,7 @@
 /// Decides when to fetch the configuration and from which entry.
 #[derive(Clone, Debug, Default)]
 pub struct DirectivesFetch {
-    lacking_since_ms: Option<u64>,
+    outdated_since_ms: Option<u64>,
     holders: collections::VecDeque<SmolStr>,
     is_fetching: bool,
     not_before_ms: u64,
@@ -42,23 +42,23 @@
 
     /// Returns the entry to fetch from now, if a fetch is due.
     ///
-    /// `is_lacking` tells whether a newer configuration is known than the one held, and `has_older`
+    /// `is_outdated` states whether a newer configuration is known than the one held, and `has_older`
     /// whether an older one is in force. Without any configuration the fetch starts at once.
-    /// Holders take turns, so that one that is down is not asked over and over.
+    /// Holders take turns, so that one that is down does not get every request.
     pub fn next_holder(
         &mut self,
         now_ms: u64,
-        is_lacking: bool,
+        is_outdated: bool,
         has_older: bool,
     ) -> Option<SmolStr> {
-        if !is_lacking {
-            self.lacking_since_ms = None;
+        if !is_outdated {
+            self.outdated_since_ms = None;
             self.holders.clear();
             return None;
         }
-        let lacking_since_ms = *self.lacking_since_ms.get_or_insert(now_ms);
+        let outdated_since_ms = *self.outdated_since_ms.get_or_insert(now_ms);
         let wait_ms = if has_older { STORE_WAIT_MS } else { 0 };
-        let due_ms = self.not_before_ms.max(lacking_since_ms + wait_ms);
+        let due_ms = self.not_before_ms.max(outdated_since_ms + wait_ms);
         if self.is_fetching || now_ms < due_ms {
             return None;
         }
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -236,11 +236,11 @@
     }
 
     fn fetch_directives(&mut self, now_ms: u64) -> Option<Action> {
-        let is_lacking = self.directives.is_outdated();
+        let is_outdated = self.directives.is_outdated();
         let has_older = self.directives.get().is_configured();
         let holder = self
             .directives_fetch
-            .next_holder(now_ms, is_lacking, has_older)?;
+            .next_holder(now_ms, is_outdated, has_older)?;
         log::info!(event = "directives.fetch", from = holder.as_str(), version = self.directives.latest().get().version, held = self.directives.get().version; "newer configuration not received from the store; fetching it from another entry");
         Some(Action::Fetch(holder))
     }
--- a/tests/unit/leased/directives.rs
+++ b/tests/unit/leased/directives.rs
@@ -15,7 +15,7 @@
 /// Address of the entry that holds the configuration.
 const HOLDER: &str = "10.0.0.1:7720";
 
-/// Time that the store has to deliver a change before another entry is asked, in milliseconds.
+/// Time that the store has to deliver a change before it is fetched from another entry, in milliseconds.
 const STORE_WAIT_MS: u64 = 700;
 
 /// Creates an entry that knows one runner.
@@ -96,11 +96,11 @@
     manager.watch(START_MS, &watch_of_holder(&held));
     manager.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
 
-    let to_lacking = manager.report(START_MS, ENTRY);
+    let to_outdated = manager.report(START_MS, ENTRY);
     let to_holder = manager.report(START_MS, OTHER);
 
-    assert_eq!(to_lacking.holder.as_deref(), Some(HOLDER));
-    assert_eq!(to_lacking.notice, Some((&held).into()));
+    assert_eq!(to_outdated.holder.as_deref(), Some(HOLDER));
+    assert_eq!(to_outdated.notice, Some((&held).into()));
     assert_eq!((to_holder.notice, to_holder.holder), (None, None));
 }
 
