--- a/src/leased/dispatch/watching.rs
+++ b/src/leased/dispatch/watching.rs
@@ -406,12 +406,12 @@
         let Some(group) = self.watches.groups.get_mut(service) else {
             return Vec::new();
         };
-        let asked = group.probe(now_ms, extra, can_probe);
-        if !asked.is_empty() {
-            log::info!(event = "room.sought", service = service.as_str(), with_room = remaining.runners_with_capacity, waiting = remaining.has_waiting, asked = asked.len(), watched_beyond = extra, pause_ms = group.probing.pause_ms; "little free capacity at the watched runners; probing others");
+        let probed = group.probe(now_ms, extra, can_probe);
+        if !probed.is_empty() {
+            log::info!(event = "room.sought", service = service.as_str(), with_room = remaining.runners_with_capacity, waiting = remaining.has_waiting, asked = probed.len(), watched_beyond = extra, pause_ms = group.probing.pause_ms; "little free capacity at the watched runners; probing others");
         }
-        let mut actions = Vec::with_capacity(asked.len());
-        for key in asked {
+        let mut actions = Vec::with_capacity(probed.len());
+        for key in probed {
             self.runners[key].watch.keep_until_ms = now_ms + EXTRA_WATCH_MS;
             actions.push(self.open_watch(now_ms, key));
         }
--- a/tests/unit/answer_retention.rs
+++ b/tests/unit/answer_retention.rs
@@ -143,7 +143,7 @@
 fn late_repeat_gets_task_outcomes_and_starts_nothing(
     #[case] last_code: codes::Code,
     #[case] expected: codes::Code,
-    #[case] fate: api::TaskOutcome,
+    #[case] last_outcome: api::TaskOutcome,
 ) {
     let (mut entry, id) = entry_with_ended(last_code);
     run_ticks(&mut entry, 0, FULL_ANSWER_MS);
@@ -158,7 +158,7 @@
     assert_eq!(answer.submission, Some(id));
     assert_eq!(
         outcomes,
-        [api::TaskOutcome::Ran, api::TaskOutcome::Ran, fate]
+        [api::TaskOutcome::Ran, api::TaskOutcome::Ran, last_outcome]
     );
     assert!(answer.tasks.iter().all(|task| task.output.is_none()));
 }
--- a/tests/unit/leased/directives.rs
+++ b/tests/unit/leased/directives.rs
@@ -174,12 +174,12 @@
     let first = entry.tick(START_MS);
     let early = entry.tick(START_MS + STORE_WAIT_MS - 1);
     let due = entry.tick(START_MS + STORE_WAIT_MS);
-    let asked = entry.tick(START_MS + STORE_WAIT_MS + 1);
+    let after_due = entry.tick(START_MS + STORE_WAIT_MS + 1);
 
     assert!(fetched_from(&first).is_empty() && fetched_from(&early).is_empty());
     assert_eq!(fetched_from(&due), [HOLDER]);
     assert!(
-        fetched_from(&asked).is_empty(),
+        fetched_from(&after_due).is_empty(),
         "more than one fetch pending"
     );
 }
@@ -216,12 +216,12 @@
     directives_fetch.add_holder("a".into());
     directives_fetch.add_holder("b".into());
 
-    let mut asked = Vec::new();
+    let mut holders = Vec::new();
     for at in 0..3 {
         let now_ms = START_MS + at * 1_000;
-        asked.extend(directives_fetch.next_holder(now_ms, true, false));
+        holders.extend(directives_fetch.next_holder(now_ms, true, false));
         directives_fetch.answered(now_ms);
     }
 
-    assert_eq!(asked, ["a", "b", "a"]);
+    assert_eq!(holders, ["a", "b", "a"]);
 }
--- a/tests/unit/leased/watching.rs
+++ b/tests/unit/leased/watching.rs
@@ -230,14 +230,14 @@
 fn job_that_does_not_fit_in_the_set_is_placed_outside_it() {
     let (mut entry, full) = entry_with_two_runners(16_000);
 
-    let asked = opened(&submit(&mut entry, START_MS, 1));
-    assert_eq!(asked.len(), 1, "expected one probe");
-    assert_ne!(asked[0], full);
-    let (address, _) = entry.next_watch(START_MS + 1, asked[0]).expect("a watch");
-    let placed = orders(&entry.report_received(START_MS + 4, asked[0], report(&address, 1, 0)));
+    let probed = opened(&submit(&mut entry, START_MS, 1));
+    assert_eq!(probed.len(), 1, "expected one probe");
+    assert_ne!(probed[0], full);
+    let (address, _) = entry.next_watch(START_MS + 1, probed[0]).expect("a watch");
+    let placed = orders(&entry.report_received(START_MS + 4, probed[0], report(&address, 1, 0)));
 
     assert_eq!(placed.len(), 1);
-    assert_eq!(placed[0].0, asked[0]);
+    assert_eq!(placed[0].0, probed[0]);
 }
 
 /// Guards against probes that start only after the last free capacity in the set is taken.
@@ -255,7 +255,7 @@
 #[test]
 fn probes_become_rarer_while_no_runner_has_capacity() {
     let mut entry = entry(1, 0).with_watch_set(1);
-    let mut asked = 0;
+    let mut probe_count = 0;
     entry.update_listing(START_MS, &members());
 
     for at in 0..100 {
@@ -264,12 +264,12 @@
         actions.extend(entry.tick(now_ms));
         for key in opened(&actions) {
             receive_report(&mut entry, now_ms, key, 16_000);
-            asked += 1;
+            probe_count += 1;
         }
     }
 
     // One second without capacity, with pauses that double from 10 to 320 ms.
-    assert!((12..=60).contains(&asked), "{asked}");
+    assert!((12..=60).contains(&probe_count), "{probe_count}");
 }
 
 /// Guards against watches that stay open for ever after a probe.
--- a/tests/unit/stops/entry.rs
+++ b/tests/unit/stops/entry.rs
@@ -297,7 +297,7 @@
             prop_assert!(answer.is_final);
             let outcomes: Vec<_> = answer.tasks.iter().map(|task| task.fate).collect();
             let dispatched_tasks = dispatched.iter().filter(|(of, _)| *of == id).count();
-            let count = |fate| outcomes.iter().filter(|other| **other == fate).count();
+            let count = |outcome| outcomes.iter().filter(|other| **other == outcome).count();
             prop_assert_eq!(count(api::TaskOutcome::MayHaveRun), dispatched_tasks);
             prop_assert_eq!(
                 count(api::TaskOutcome::Ran),
