--- a/src/leased/dispatch/directives_fetch.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -8,7 +8,8 @@
 
 use smol_str::SmolStr;
 
-/// Time that the store has to deliver a change before it is fetched from another entry, in milliseconds.
+/// Time that the store has to deliver a change before it is fetched from another entry, in
+/// milliseconds.
 ///
 /// Both transfers share one link, and a change has to be in force within two seconds.
 const STORE_WAIT_MS: u64 = 700;
@@ -42,8 +43,8 @@
 
     /// Returns the entry to fetch from now, if a fetch is due.
     ///
-    /// `is_outdated` states whether a newer configuration is known than the one held, and `has_older`
-    /// whether an older one is in force. Without any configuration the fetch starts at once.
+    /// `is_outdated` states whether a newer configuration is known than the one held, and
+    /// `has_older` whether an older one is in force. Without any configuration the fetch starts at once.
     /// Holders take turns, so that one that is down does not get every request.
     pub fn next_holder(
         &mut self,
--- a/tests/unit/leased/directives.rs
+++ b/tests/unit/leased/directives.rs
@@ -15,7 +15,8 @@
 /// Address of the entry that holds the configuration.
 const HOLDER: &str = "10.0.0.1:7720";
 
-/// Time that the store has to deliver a change before it is fetched from another entry, in milliseconds.
+/// Time that the store has to deliver a change before it is fetched from another entry, in
+/// milliseconds.
 const STORE_WAIT_MS: u64 = 700;
 
 /// Creates an entry that knows one runner.
