--- a/src/leased/dispatch/directives_fetch.rs
+++ b/src/leased/dispatch/directives_fetch.rs
@@ -44,8 +44,8 @@
     /// Returns the entry to fetch from now, if a fetch is due.
     ///
     /// `is_outdated` states whether a newer configuration is known than the one held, and
-    /// `has_older` whether an older one is in force. Without any configuration the fetch starts at once.
-    /// Holders take turns, so that one that is down does not get every request.
+    /// `has_older` whether an older one is in force. Without any configuration the fetch starts at
+    /// once. Holders take turns, so that one that is down does not get every request.
     pub fn next_holder(
         &mut self,
         now_ms: u64,
