--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -62,7 +62,7 @@
     pub(super) parts: Parts,
     pub(super) leave_started_ms: Option<u64>,
     pub(super) is_published: bool,
-    pub(super) search: announcements::Search,
+    pub(super) isolation_backoff: announcements::IsolationBackoff,
     pub(super) suspect_until_ms: collections::HashMap<SmolStr, u64>,
 }
 
@@ -83,7 +83,7 @@
             parts,
             leave_started_ms: None,
             is_published: false,
-            search: announcements::Search::new(now_ms, seed),
+            isolation_backoff: announcements::IsolationBackoff::new(now_ms, seed),
             suspect_until_ms: collections::HashMap::new(),
         }
     }
--- a/src/entry/core.rs
+++ b/src/entry/core.rs
@@ -364,7 +364,7 @@
             .iter()
             .filter(|peer| peer.name != self.me.name)
         {
-            self.members.record_named_entry(now_ms, peer);
+            self.members.record_reported_entry(now_ms, peer);
         }
         if reply.revision > self.revision {
             return true;
--- a/src/entry/updates.rs
+++ b/src/entry/updates.rs
@@ -63,7 +63,7 @@
         let dead_after_ms = self.core.settings().timeouts.dead_after_ms;
         let since_ms = now_ms.saturating_sub(dead_after_ms.into());
         if self
-            .search
+            .isolation_backoff
             .is_due(now_ms, self.contacts.is_isolated(since_ms))
         {
             self.announce(cx);
--- a/src/membership/announcements.rs
+++ b/src/membership/announcements.rs
@@ -71,18 +71,19 @@
     entries.into_iter().map(|(_, peer)| peer.clone()).collect()
 }
 
-/// Schedule by which a process without a live contact reads the stream.
+/// Backoff by which a process without a live contact uses the stream: an entry announces itself
+/// and a runner reads it.
 #[derive(Clone, Copy, Debug)]
-pub struct Search {
+pub struct IsolationBackoff {
     due_ms: u64,
     pause_ms: u64,
     seed: u64,
 }
 
-impl Search {
-    /// Schedules the first read for when the first heartbeats should have been answered.
+impl IsolationBackoff {
+    /// Schedules the first use for when the first heartbeats should have been answered.
     ///
-    /// `seed` spreads the reads of processes that search at the same time.
+    /// `seed` spreads the load of processes that are isolated at the same time.
     pub const fn new(now_ms: u64, seed: u64) -> Self {
         Self {
             due_ms: now_ms + MIN_PAUSE_MS,
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Returns whether to read now, and if so schedules the next read.
+    /// Returns whether to use the stream now, and if so schedules the next time.
     ///
     /// `is_isolated` states that no contact has answered recently. The pauses double while
     /// this lasts, and start again from the shortest once a contact has answered.
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -168,8 +168,8 @@
         self.entries.insert(peer.name.clone(), entry);
     }
 
-    /// Records an entry that another one named, unless this incarnation is known already.
-    pub fn record_named_entry(&mut self, now_ms: u64, peer: &wire::Peer) {
+    /// Records an entry reported by another one, unless this incarnation is known already.
+    pub fn record_reported_entry(&mut self, now_ms: u64, peer: &wire::Peer) {
         let known = self.entries.get(&peer.name);
         if known.is_none_or(|known| known.peer.incarnation < peer.incarnation) {
             self.record_entry(now_ms, peer, EntryStatus::default());
--- a/src/runner/control.rs
+++ b/src/runner/control.rs
@@ -60,7 +60,7 @@
     pub(super) parts: Parts,
     pub(super) is_reading_log: bool,
     pub(super) read_log_after_ms: u64,
-    pub(super) search: announcements::Search,
+    pub(super) isolation_backoff: announcements::IsolationBackoff,
     pub(super) leave_started_ms: Option<u64>,
     pub(super) counts: Counts,
 }
@@ -83,7 +83,7 @@
             settings_replica::SettingsReplica::new(me.name.clone(), me.zone.clone(), now_ms);
         let settings = sync::Arc::clone(settings_replica.state().settings());
         let own = me.address.clone();
-        let search = announcements::Search::new(now_ms, me.incarnation.0);
+        let isolation_backoff = announcements::IsolationBackoff::new(now_ms, me.incarnation.0);
         Self {
             core: core::Core::new(parts.runner.clone(), settings, now_ms),
             settings_replica,
@@ -92,7 +92,7 @@
             parts,
             is_reading_log: false,
             read_log_after_ms: 0,
-            search,
+            isolation_backoff,
             leave_started_ms: None,
             counts: Counts::default(),
         }
@@ -233,7 +233,7 @@
         let now_ms = self.now_ms();
         let since_ms = now_ms.saturating_sub(self.timeouts().dead_after_ms.into());
         let has_no_contact = self.contacts.is_isolated(since_ms);
-        if !self.search.is_due(now_ms, has_no_contact) {
+        if !self.isolation_backoff.is_due(now_ms, has_no_contact) {
             return;
         }
         let done = cx.address().recipient();
--- a/tests/unit/membership.rs
+++ b/tests/unit/membership.rs
@@ -244,13 +244,13 @@
 
 #[test]
 fn search_pauses_double_up_to_a_limit_and_reset_when_a_contact_answers() {
-    let mut search = announcements::Search::new(0, 0);
+    let mut backoff = announcements::IsolationBackoff::new(0, 0);
     let due: Vec<u64> = (0..200_000)
-        .filter(|now_ms| search.is_due(*now_ms, true))
+        .filter(|now_ms| backoff.is_due(*now_ms, true))
         .collect();
 
-    let due_with_contact = search.is_due(200_000, false);
-    let due_without = search.is_due(200_000 + announcements::MAX_PAUSE_MS, true);
+    let due_with_contact = backoff.is_due(200_000, false);
+    let due_without = backoff.is_due(200_000 + announcements::MAX_PAUSE_MS, true);
 
     let pauses: Vec<u64> = due.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert_eq!(pauses[..5], [1_000, 2_000, 4_000, 8_000, 16_000]);
