--- a/src/client/survey.rs
+++ b/src/client/survey.rs
@@ -106,7 +106,10 @@
         }
     }
 
-    /// Fills in what a peer reports about this process.
+    /// Applies a peer's report about this process.
+    ///
+    /// An answer of the process itself takes precedence, unless the peer reports a state other
+    /// than alive.
     fn apply_peer_report(&mut self, peer: &api::PeerStatus) {
         self.busy = self.busy.or(Some(peer.busy));
         self.slots = self.slots.or(Some(peer.slots));
@@ -125,7 +128,7 @@
         }
     }
 
-    /// Fills in what this process reports about itself.
+    /// Applies this process's own status report.
     fn apply_own_status(&mut self, status: &api::Status) {
         self.answered = true;
         self.role = status.role.clone();
--- a/src/entry/forwarding.rs
+++ b/src/entry/forwarding.rs
@@ -24,8 +24,8 @@
 /// Time-out for the acceptance of a submission over a kept connection: many round trips.
 const KEPT_CONNECTION_TIMEOUT: time::Duration = time::Duration::from_millis(300);
 
-/// Time-out for the acceptance over a fresh connection, after which the caller is told
-/// that the state of its submission is unknown.
+/// Time-out for the acceptance over a fresh connection, after which the answer to the
+/// caller says that the state of its submission is unknown.
 const FRESH_CONNECTION_TIMEOUT: time::Duration = time::Duration::from_secs(1);
 
 /// Forwards a call to the owner; returns `None` if it does not reply.
--- a/src/jobs/mod.rs
+++ b/src/jobs/mod.rs
@@ -37,7 +37,7 @@
     pub id: ids::SubmissionId,
     /// Team that is charged and may read the answer.
     pub team: SmolStr,
-    /// Hash of the content; tells a repeat from another submission with the same id.
+    /// Hash of the content; distinguishes a repeat from another submission with the same id.
     pub fingerprint: u64,
     /// Arrival time in monotonic milliseconds.
     pub arrived_ms: u64,
@@ -69,7 +69,7 @@
     pub output: String,
     /// Run time in milliseconds.
     pub run_ms: u64,
-    /// Where it ran, if it did.
+    /// Runner and availability zone where it ran, if it did.
     pub place: Option<Place>,
 }
 
@@ -132,7 +132,7 @@
 /// A submission that has ended, with its final answer.
 #[derive(Clone, Debug)]
 pub struct Ended {
-    /// Hash of the content; tells a repeat from another submission with the same id.
+    /// Hash of the content; distinguishes a repeat from another submission with the same id.
     pub fingerprint: u64,
     /// The final answer.
     pub answer: api::Answer,
--- a/src/jobs/summary.rs
+++ b/src/jobs/summary.rs
@@ -20,7 +20,7 @@
 /// Result code and task outcomes of a submission that has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Summary {
-    /// Hash of the content; tells a repeat from another submission with the same id.
+    /// Hash of the content; distinguishes a repeat from another submission with the same id.
     pub fingerprint: u64,
     code: codes::Code,
     elapsed_ms: u64,
--- a/src/leading/mod.rs
+++ b/src/leading/mod.rs
@@ -7,8 +7,8 @@
 //!
 //! So an entry that sees few free slots forwards new submissions to the leading entry. This
 //! needs no agreement: a forwarded submission carries a ticket issued by the leading entry
-//! ([`TicketStock`]), so that no other entry that takes itself for the leader can start it,
-//! and two leaders at a time are no worse than none.
+//! ([`TicketStock`]), so that no other entry that considers itself the leader can start it,
+//! and two simultaneous leaders are no worse than none.
 
 use smol_str::SmolStr;
 
@@ -24,8 +24,8 @@
 
 /// How long a ticket of the leading entry stays in stock, in milliseconds.
 ///
-/// It is short compared with the validity of a ticket. Callers that fetch tickets in advance are
-/// told the validity less this time.
+/// It is short compared with the validity of a ticket. The validity reported to callers that fetch
+/// tickets in advance is reduced by this time.
 pub const STOCK_LIFETIME_MS: u64 = 5_000;
 
 /// Fraction of the slots seen by this entry that a leading entry must see as well; an entry
--- a/src/leased/capacity/mod.rs
+++ b/src/leased/capacity/mod.rs
@@ -1,6 +1,6 @@
 //! A runner's decisions about runs under leases, without I/O and clock.
 //!
-//! The backend server starts whatever it is told to start, so only the runner accounts for its
+//! The backend server executes every start call, so only the runner accounts for its
 //! capacity: a run occupies capacity from the call that starts it until the backend server lists
 //! its end, or until it is certain that the run never started.
 
--- a/src/leased/dispatch/mod.rs
+++ b/src/leased/dispatch/mod.rs
@@ -320,7 +320,7 @@
         self.apply_ends(now_ms, key, ended)
     }
 
-    /// Processes an order without an answer; `is_unsent` tells that it was certainly not sent.
+    /// Processes an order without an answer; `is_unsent` states that it was certainly not sent.
     pub fn order_lost(
         &mut self,
         now_ms: u64,
--- a/src/leased/dispatch/runners.rs
+++ b/src/leased/dispatch/runners.rs
@@ -199,8 +199,8 @@
 
     /// Returns whether the runner can be removed: it holds no runs and has been silent for long.
     ///
-    /// A listed runner is never removed. Of a runner that only another entry reported, silence is
-    /// evidence only while a watch is open.
+    /// A listed runner is never removed. For a runner that only another entry reported, silence
+    /// counts only while a watch is open.
     pub fn is_removable(&self, now_ms: u64) -> bool {
         let is_silent = self.silence_ms(now_ms) >= REMOVE_AFTER_MS;
         let since_ms = self.watch.opened_ms.unwrap_or(now_ms);
--- a/src/leased/messages.rs
+++ b/src/leased/messages.rs
@@ -313,7 +313,7 @@
     pub refused: Vec<(RunId, Refusal)>,
 }
 
-/// What an entry sends to another one that can't reach the store.
+/// Runner addresses and directives that an entry sends to another one that can't reach the store.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct Known {
--- a/src/membership/announcements.rs
+++ b/src/membership/announcements.rs
@@ -29,11 +29,12 @@
 /// Maximum number of entries taken from one read. One live entry names all others.
 pub const MAX_ENTRIES: usize = 16;
 
-/// Shortest pause between two reads by a process without a live contact, in milliseconds.
+/// Shortest pause between two uses of the stream by a process without a live contact, in
+/// milliseconds.
 ///
 /// The pauses grow because all runners may read at once when the entries are replaced.
 pub const MIN_PAUSE_MS: u64 = 1_000;
-/// Longest pause between two reads, see [`MIN_PAUSE_MS`].
+/// Longest pause between two uses, see [`MIN_PAUSE_MS`].
 pub const MAX_PAUSE_MS: u64 = 30_000;
 
 /// One record of the stream.
--- a/src/runner/messages.rs
+++ b/src/runner/messages.rs
@@ -29,7 +29,7 @@
 pub struct TaskEnded {
     /// The attempt.
     pub attempt: ids::Attempt,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub end: core::End,
 }
 
