--- a/src/client/follow.rs
+++ b/src/client/follow.rs
@@ -91,7 +91,7 @@
     }
 
     /// Whether records expired before they were read.
-    pub fn has_missing_records(&self) -> bool {
+    pub fn is_missing_records(&self) -> bool {
         self.reader.read_status() == reader::ReadStatus::MissingRecords
     }
 
--- a/src/client/publish.rs
+++ b/src/client/publish.rs
@@ -96,7 +96,7 @@
         match failed {
             Some(err) if is_over || is_permanent(&err) => return Err(err),
             Some(_unavailable) => rt_time::sleep(delays.next().unwrap_or(READ_WAIT)).await,
-            None if follower.has_missing_records() => {
+            None if follower.is_missing_records() => {
                 return Err(follower
                     .log()
                     .bad_answer("records expired before they were read"));
--- a/src/cmd/audit/mod.rs
+++ b/src/cmd/audit/mod.rs
@@ -166,7 +166,7 @@
     outage = Outage::default();
     loop {
         match follower.read_next(FOLLOW_WAIT).await {
-            Ok(applied) if follower.has_missing_records() => {
+            Ok(applied) if follower.is_missing_records() => {
                 print_records(args, &applied)?;
                 return Err(follower
                     .log()
