--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -55,14 +55,14 @@
 #[derive(Debug)]
 pub struct Control {
     pub(super) core: core::Core,
-    pub(super) keeper: settings_replica::SettingsReplica,
+    pub(super) settings_replica: settings_replica::SettingsReplica,
     pub(super) contacts: contacts::Contacts,
     pub(super) waiters: collections::HashMap<jobs::Key, Vec<Waiter>>,
     pub(super) claim_waiters: collections::HashMap<claims::ScopedId, Vec<oneshot::Sender<()>>>,
     pub(super) parts: Parts,
     pub(super) leave_started_ms: Option<u64>,
     pub(super) is_published: bool,
-    pub(super) search: announcements::Search,
+    pub(super) isolation_backoff: announcements::IsolationBackoff,
     pub(super) suspect_until_ms: collections::HashMap<SmolStr, u64>,
 }
 
@@ -71,19 +71,19 @@
     pub fn new(parts: Parts) -> Self {
         let now_ms = parts.clock.now_ms();
         let (name, zone) = (parts.me.name.clone(), parts.me.zone.clone());
-        let keeper = settings_replica::SettingsReplica::new(name, zone, now_ms);
-        let settings = sync::Arc::clone(keeper.state().settings());
+        let settings_replica = settings_replica::SettingsReplica::new(name, zone, now_ms);
+        let settings = sync::Arc::clone(settings_replica.state().settings());
         let seed = parts.me.incarnation.0;
         Self {
             core: core::Core::new(parts.me.clone(), settings, now_ms, seed),
-            keeper,
+            settings_replica,
             contacts: contacts::Contacts::new(parts.me.address.clone(), &parts.entries),
             waiters: collections::HashMap::new(),
             claim_waiters: collections::HashMap::new(),
             parts,
             leave_started_ms: None,
             is_published: false,
-            search: announcements::Search::new(now_ms, seed),
+            isolation_backoff: announcements::IsolationBackoff::new(now_ms, seed),
             suspect_until_ms: collections::HashMap::new(),
         }
     }
--- a/src/membership/announcements.rs
+++ b/src/membership/announcements.rs
@@ -29,11 +29,12 @@
 /// Maximum number of entries taken from one read. One live entry names all others.
 pub const MAX_ENTRIES: usize = 16;
 
-/// Shortest pause between two reads by a process without a live contact, in milliseconds.
+/// Shortest pause between two uses of the stream by a process without a live contact, in
+/// milliseconds.
 ///
 /// The pauses grow because all runners may read at once when the entries are replaced.
 pub const MIN_PAUSE_MS: u64 = 1_000;
-/// Longest pause between two reads, see [`MIN_PAUSE_MS`].
+/// Longest pause between two uses, see [`MIN_PAUSE_MS`].
 pub const MAX_PAUSE_MS: u64 = 30_000;
 
 /// One record of the stream.
@@ -71,18 +72,19 @@
     entries.into_iter().map(|(_, peer)| peer.clone()).collect()
 }
 
-/// Schedule by which a process without a live contact reads the stream.
+/// Backoff by which a process without a live contact uses the stream: an entry announces itself
+/// and a runner reads it.
 #[derive(Clone, Copy, Debug)]
-pub struct Search {
+pub struct IsolationBackoff {
     due_ms: u64,
     pause_ms: u64,
     seed: u64,
 }
 
-impl Search {
-    /// Schedules the first read for when the first heartbeats should have been answered.
+impl IsolationBackoff {
+    /// Schedules the first use for when the first heartbeats should have been answered.
     ///
-    /// `seed` spreads the reads of processes that search at the same time.
+    /// `seed` spreads the load of processes that are isolated at the same time.
     pub const fn new(now_ms: u64, seed: u64) -> Self {
         Self {
             due_ms: now_ms + MIN_PAUSE_MS,
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Returns whether to read now, and if so schedules the next read.
+    /// Returns whether to use the stream now, and if so schedules the next time.
     ///
     /// `is_isolated` states that no contact has answered recently. The pauses double while
     /// this lasts, and start again from the shortest once a contact has answered.
--- a/tests/unit/leased/directives.rs
+++ b/tests/unit/leased/directives.rs
@@ -15,7 +15,8 @@
 /// Address of the entry that holds the configuration.
 const HOLDER: &str = "10.0.0.1:7720";
 
-/// Time that the store has to deliver a change before another entry is asked, in milliseconds.
+/// Time that the store has to deliver a change before it is fetched from another entry, in
+/// milliseconds.
 const STORE_WAIT_MS: u64 = 700;
 
 /// Creates an entry that knows one runner.
@@ -96,11 +97,11 @@
     manager.watch(START_MS, &watch_of_holder(&held));
     manager.watch(START_MS, &fixtures::watch(ENTRY, START_MS, 0, &[]));
 
-    let to_lacking = manager.report(START_MS, ENTRY);
+    let to_outdated = manager.report(START_MS, ENTRY);
     let to_holder = manager.report(START_MS, OTHER);
 
-    assert_eq!(to_lacking.holder.as_deref(), Some(HOLDER));
-    assert_eq!(to_lacking.notice, Some((&held).into()));
+    assert_eq!(to_outdated.holder.as_deref(), Some(HOLDER));
+    assert_eq!(to_outdated.notice, Some((&held).into()));
     assert_eq!((to_holder.notice, to_holder.holder), (None, None));
 }
 
@@ -174,12 +175,12 @@
     let first = entry.tick(START_MS);
     let early = entry.tick(START_MS + STORE_WAIT_MS - 1);
     let due = entry.tick(START_MS + STORE_WAIT_MS);
-    let asked = entry.tick(START_MS + STORE_WAIT_MS + 1);
+    let after_due = entry.tick(START_MS + STORE_WAIT_MS + 1);
 
     assert!(fetched_from(&first).is_empty() && fetched_from(&early).is_empty());
     assert_eq!(fetched_from(&due), [HOLDER]);
     assert!(
-        fetched_from(&asked).is_empty(),
+        fetched_from(&after_due).is_empty(),
         "more than one fetch pending"
     );
 }
@@ -216,12 +217,12 @@
     directives_fetch.add_holder("a".into());
     directives_fetch.add_holder("b".into());
 
-    let mut asked = Vec::new();
+    let mut holders = Vec::new();
     for at in 0..3 {
         let now_ms = START_MS + at * 1_000;
-        asked.extend(directives_fetch.next_holder(now_ms, true, false));
+        holders.extend(directives_fetch.next_holder(now_ms, true, false));
         directives_fetch.answered(now_ms);
     }
 
-    assert_eq!(asked, ["a", "b", "a"]);
+    assert_eq!(holders, ["a", "b", "a"]);
 }
